--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -99,7 +99,7 @@
 	if e.Cause == router.OverQuota {
 		status = http.StatusTooManyRequests
 	}
-	f.refuse(status, string(e.Cause), e.After)
+	f.refuse(status, string(e.Cause), e.RetryAfter)
 }
 
 // giveUp ends a request that may have run. An answer that has begun is cut off so that it cannot be
@@ -109,7 +109,7 @@
 	case f.headWritten:
 		f.logEnd(string(e.Cause), 0)
 		panic(http.ErrAbortHandler)
-	case e.PassOn && f.held != nil:
+	case e.DeliverFailure && f.held != nil:
 		f.writeAnswer(f.held)
 		f.logEnd("failure_passed_on", f.held.status)
 	case f.rest != nil && f.rest.tooLarge.Load():
@@ -125,12 +125,12 @@
 func (f *flight) logDispatch(d router.Dispatch) {
 	f.g.metrics.Count("requests.dispatched", 1)
 	f.g.trails.add(f.call.AttemptID, d.At, "sent to %s (attempt %d): %d in flight of at most %d, beliefs %s old, configuration %d",
-		d.Backend.ID, d.Attempt, d.Grounds.InFlight, d.Grounds.Limit, d.Grounds.BeliefAge, d.Grounds.Version)
+		d.Backend.ID, d.Attempt, d.Grounds.InFlight, d.Grounds.Limit, d.Grounds.ViewAge, d.Grounds.Version)
 	if d.Attempt > 1 {
 		f.g.metrics.Count("requests.sent_again", 1)
 	}
 	f.g.log.Info().Str("id", f.call.AttemptID).Str("route", f.route.Name).Str("backend", d.Backend.ID).Int("attempt", d.Attempt).
-		Int("in_flight", d.Grounds.InFlight).Int("limit", d.Grounds.Limit).Int64("belief_age_ms", d.Grounds.BeliefAge.Milliseconds()).
+		Int("in_flight", d.Grounds.InFlight).Int("limit", d.Grounds.Limit).Int64("belief_age_ms", d.Grounds.ViewAge.Milliseconds()).
 		Int64("expect_ms", d.Grounds.Wait.Milliseconds()).Uint64("config", d.Grounds.Version).Uint64("era", d.Grounds.Era).Str("owner", d.Grounds.Owner).Msg("Sent.")
 }
 
@@ -197,12 +197,12 @@
 	if f.attempts > 0 {
 		e = e.Str("backend", f.backend).Int("attempts", f.attempts).Int64("first_ms", f.firstByte.Milliseconds()).Int64("last_event", f.lastEvent)
 	} else {
-		e = e.Int("in_flight", f.grounds.InFlight).Int("limit", f.grounds.Limit).Int64("belief_age_ms", f.grounds.BeliefAge.Milliseconds()).
-			Int("known", f.grounds.Known).Int("full", f.grounds.Full).Int("dead", f.grounds.Dead).Int("cold", f.grounds.Cold).Int("barred", f.grounds.Barred).Uint64("config", f.grounds.Version).Uint64("era", f.grounds.Era)
+		e = e.Int("in_flight", f.grounds.InFlight).Int("limit", f.grounds.Limit).Int64("belief_age_ms", f.grounds.ViewAge.Milliseconds()).
+			Int("known", f.grounds.Known).Int("full", f.grounds.Full).Int("dead", f.grounds.Unreachable).Int("cold", f.grounds.Cold).Int("barred", f.grounds.Excluded).Uint64("config", f.grounds.Version).Uint64("era", f.grounds.Era)
 	}
 	if outcome == string(router.OverQuota) {
 		g := f.grounds.Quota
-		e = e.Str("owner", f.grounds.Owner).Float64("cost", g.Cost).Float64("quota_left", math.Round(g.Left)).Float64("own_part_left", math.Round(g.Own))
+		e = e.Str("owner", f.grounds.Owner).Float64("cost", g.Cost).Float64("quota_left", math.Round(g.Remaining)).Float64("own_part_left", math.Round(g.OwnShare))
 	}
 	e.Msg("Ended.")
 }
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -13,26 +13,26 @@
 
 // carry classifies an answer of a backend server and passes it on. What the server says of itself in the head is told first: the
 // rest may take long, or break.
-func (f *flight) carry(from routing.Backend, resp *upstream.Response, sentAt time.Time) router.Ended {
+func (f *flight) carry(from routing.Backend, resp *upstream.Response, sentAt time.Time) router.DispatchEnded {
 	info := f.g.wire.Classify(resp.Status, resp.Header)
 	success := isSuccess(resp.Status)
 	if resp.Status != http.StatusMisdirectedRequest && (info.Leaving || info.StayAway > 0) {
-		f.g.control.Post(router.Said{ID: from.ID, Start: from.Start, Leaving: info.Leaving, Away: info.StayAway})
+		f.g.control.Post(router.BackendAnnouncement{ID: from.ID, Start: from.Start, Leaving: info.Leaving, HoldOff: info.StayAway})
 	}
 	switch {
 	case info.NotRun && resp.Status == http.StatusMisdirectedRequest:
 		f.logRejected(resp.Status, sentAt)
-		return router.Ended{Outcome: router.WrongInstance, Delivered: f.headWritten}
+		return router.DispatchEnded{Outcome: router.WrongInstance, Delivered: f.headWritten}
 	case info.NotRun && !success:
 		f.logRejected(resp.Status, sentAt)
-		return router.Ended{Outcome: router.Rejected, Delivered: f.headWritten}
+		return router.DispatchEnded{Outcome: router.Rejected, Delivered: f.headWritten}
 	case success && (!info.Signed || resp.Header.Get("Content-Encoding") != ""):
-		return router.Ended{Outcome: router.Broken, Fault: true, Delivered: f.headWritten}
+		return router.DispatchEnded{Outcome: router.Broken, Fault: true, Delivered: f.headWritten}
 	case success && f.route.Kind == routing.Streaming:
 		return f.carryStream(resp, sentAt)
 	case f.headWritten:
 		// A stream that was to go on met a failure; the caller has a status already.
-		return router.Ended{Outcome: router.Broken, Fault: true, Delivered: true}
+		return router.DispatchEnded{Outcome: router.Broken, Fault: true, Delivered: true}
 	default:
 		return f.carryWhole(resp, sentAt)
 	}
@@ -45,7 +45,7 @@
 const answerBuffer = 256 << 10
 
 // carryWhole passes a plain answer on, complete or not at all up to answerBuffer.
-func (f *flight) carryWhole(resp *upstream.Response, sentAt time.Time) router.Ended {
+func (f *flight) carryWhole(resp *upstream.Response, sentAt time.Time) router.DispatchEnded {
 	body, err := io.ReadAll(io.LimitReader(resp, answerBuffer))
 	if err != nil {
 		return f.failed(true, err)
@@ -57,27 +57,27 @@
 	}
 	if resp.Status >= http.StatusInternalServerError {
 		f.held = &heldAnswer{resp.Status, resp.Header, body}
-		return router.Ended{Outcome: router.Failed, First: first}
+		return router.DispatchEnded{Outcome: router.Failed, First: first}
 	}
 	f.writeAnswer(&heldAnswer{resp.Status, resp.Header, body})
-	return router.Ended{Outcome: router.Answered, First: first}
+	return router.DispatchEnded{Outcome: router.Answered, First: first}
 }
 
-func (f *flight) carryLong(resp *upstream.Response, begin []byte, first time.Duration) router.Ended {
+func (f *flight) carryLong(resp *upstream.Response, begin []byte, first time.Duration) router.DispatchEnded {
 	f.writeHead(resp.Status, resp.Header, resp.Length)
 	if _, err := f.w.Write(begin); err != nil {
-		return router.Ended{Outcome: router.Canceled}
+		return router.DispatchEnded{Outcome: router.Canceled}
 	}
 	if _, err := io.Copy(f.w, resp); err != nil {
 		end := f.failed(true, err)
 		end.Delivered = true
 		return end
 	}
-	return router.Ended{Outcome: router.Answered, First: first}
+	return router.DispatchEnded{Outcome: router.Answered, First: first}
 }
 
 // carryStream passes whole events on as they come, and skips those that the caller has already.
-func (f *flight) carryStream(resp *upstream.Response, sentAt time.Time) router.Ended {
+func (f *flight) carryStream(resp *upstream.Response, sentAt time.Time) router.DispatchEnded {
 	rc := http.NewResponseController(f.w)
 	events := newEventReader(resp)
 	t := &timing.Stream{Began: sentAt}
@@ -87,7 +87,7 @@
 			if !f.headWritten {
 				f.writeHead(resp.Status, resp.Header, -1)
 			}
-			return timed(router.Ended{Outcome: router.Answered}, t)
+			return timed(router.DispatchEnded{Outcome: router.Answered}, t)
 		}
 		if err != nil {
 			end := f.failed(true, err)
@@ -111,10 +111,10 @@
 			_ = rc.SetWriteDeadline(f.deadline)
 		}
 		if _, err := f.w.Write(out); err != nil {
-			return router.Ended{Outcome: router.Canceled}
+			return router.DispatchEnded{Outcome: router.Canceled}
 		}
 		if err := rc.Flush(); err != nil {
-			return router.Ended{Outcome: router.Canceled}
+			return router.DispatchEnded{Outcome: router.Canceled}
 		}
 	}
 }
@@ -143,15 +143,15 @@
 // tellSpeed tells the reducer that a stream begins, and how fast it goes.
 func (f *flight) tellSpeed(before int, t *timing.Stream) {
 	if before == 0 && t.Pieces > 0 {
-		f.g.control.Post(router.Began{ID: f.id, First: t.First()})
+		f.g.control.Post(router.StreamStarted{ID: f.id, First: t.First()})
 	}
 	if before < pacedAfter && t.Pieces >= pacedAfter {
-		f.g.control.Post(router.Paced{ID: f.id, Interval: t.Interval()})
+		f.g.control.Post(router.StreamProgress{ID: f.id, Interval: t.Interval()})
 	}
 }
 
 // timed tells the reducer how the stream went, for its estimates.
-func timed(e router.Ended, t *timing.Stream) router.Ended {
+func timed(e router.DispatchEnded, t *timing.Stream) router.DispatchEnded {
 	e.Events, e.First, e.Interval = t.Pieces, t.First(), t.Interval()
 	return e
 }
--- a/internal/gateway/end_test.go
+++ b/internal/gateway/end_test.go
@@ -29,7 +29,7 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
 	defer srv.Close()
 	g := New(&paused{}, silentWire{}, upstream.NewPool(func() {}), zerolog.Nop(), telemetry.NewMetrics())
-	send := func() (*flight, router.Ended) {
+	send := func() (*flight, router.DispatchEnded) {
 		f := &flight{g: g, w: httptest.NewRecorder(), r: httptest.NewRequest(http.MethodGet, "/x", nil), began: time.Now(),
 			route: &routing.Route{Name: "plain"}, allowed: time.Minute, deadline: time.Now().Add(time.Minute)}
 		return f, f.dispatch(router.Dispatch{Backend: routing.Backend{Addr: srv.Listener.Addr().String()}, Attempt: 1, Keep: 1})
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -42,7 +42,7 @@
 	headWritten bool
 	lastEvent   int64
 	held        *heldAnswer
-	grounds     router.Grounds
+	grounds     router.DecisionBasis
 	backend     string
 	attempts    int
 	// mayHaveRun tells that bytes of the request have left this host, also where a backend server says that it has not
@@ -194,7 +194,7 @@
 		f.logEnd("caller_left", 0)
 		panic(http.ErrAbortHandler)
 	case f.mayHaveRun:
-		f.giveUp(router.GiveUp{Cause: cutByShutdown, PassOn: true})
+		f.giveUp(router.GiveUp{Cause: cutByShutdown, DeliverFailure: true})
 	default:
 		f.refuse(http.StatusServiceUnavailable, string(router.ShutDown), router.DrainBack)
 	}
@@ -202,7 +202,7 @@
 
 // digestOf names the request in the end of a dispatch that may say something of it: its answer broke, or it succeeded though
 // requests are under suspicion.
-func (f *flight) digestOf(end router.Ended) quarantine.Digest {
+func (f *flight) digestOf(end router.DispatchEnded) quarantine.Digest {
 	switch end.Outcome {
 	case router.Broken, router.TimedOut, router.Canceled:
 		return f.digest()
@@ -247,12 +247,12 @@
 }
 
 // dispatch sends the request once and carries the answer.
-func (f *flight) dispatch(d router.Dispatch) router.Ended {
+func (f *flight) dispatch(d router.Dispatch) router.DispatchEnded {
 	if f.g.ended() {
-		return router.Ended{Outcome: router.Canceled}
+		return router.DispatchEnded{Outcome: router.Canceled}
 	}
 	if !f.permitted(d) {
-		return router.Ended{Outcome: router.NotSent}
+		return router.DispatchEnded{Outcome: router.NotSent}
 	}
 	ctx, cancel := context.WithCancel(f.r.Context())
 	defer cancel()
@@ -306,11 +306,11 @@
 // stalled asks the reducer whether to give a silent backend server up.
 func (f *flight) stalled() bool {
 	f.g.control.Post(router.Stalled{ID: f.id})
-	v, ok := (<-f.effects).(router.Verdict)
-	if ok && v.Move {
+	v, ok := (<-f.effects).(router.StallDecision)
+	if ok && v.Reassign {
 		f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Int64("last_event", f.lastEvent).Msg("Silent for long. Moves.")
 	}
-	return ok && v.Move
+	return ok && v.Reassign
 }
 
 func (f *flight) request(d router.Dispatch) *upstream.Request {
@@ -343,24 +343,24 @@
 }
 
 // failed classifies a call that brought no answer.
-func (f *flight) failed(sent bool, err error) router.Ended {
+func (f *flight) failed(sent bool, err error) router.DispatchEnded {
 	switch {
 	case f.r.Context().Err() != nil || f.g.ended():
-		return router.Ended{Outcome: router.Canceled}
+		return router.DispatchEnded{Outcome: router.Canceled}
 	case !sent && !time.Now().Before(f.deadline):
-		return router.Ended{Outcome: router.NotSent}
+		return router.DispatchEnded{Outcome: router.NotSent}
 	case errors.Is(err, upstream.ErrNotPermitted):
 		f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Msg("Decision too old to send on.")
-		return router.Ended{Outcome: router.NotSent} // says nothing of the backend server
+		return router.DispatchEnded{Outcome: router.NotSent} // says nothing of the backend server
 	case !sent:
 		f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Err(err).Msg("Not sent.")
-		return router.Ended{Outcome: router.NotSent, Fault: true}
+		return router.DispatchEnded{Outcome: router.NotSent, Fault: true}
 	case !time.Now().Before(f.deadline):
-		return router.Ended{Outcome: router.TimedOut}
+		return router.DispatchEnded{Outcome: router.TimedOut}
 	default:
 		f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Err(err).Stringer("digest", f.digest()).
 			Int64("last_event", f.lastEvent).Msg("Broken after the send.")
-		return router.Ended{Outcome: f.once(router.Broken), Fault: true, Delivered: f.headWritten}
+		return router.DispatchEnded{Outcome: f.once(router.Broken), Fault: true, Delivered: f.headWritten}
 	}
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -135,7 +135,7 @@
 type Source interface {
 	// Snapshot is what the host knows beyond what the asker has; ok is false where its control thread
 	// does not answer.
-	Snapshot(since router.Since) (n router.News, ok bool)
+	Snapshot(since router.Since) (n router.Update, ok bool)
 }
 
 // Handler answers questions for news.
@@ -247,8 +247,8 @@
 }
 
 // Pull reads what a host knows beyond what this one has.
-func (p *Puller) Pull(ctx context.Context, host string, since router.Since) (router.News, error) {
-	var n router.News
+func (p *Puller) Pull(ctx context.Context, host string, since router.Since) (router.Update, error) {
+	var n router.Update
 	q := url.Values{revisionParam: {strconv.FormatUint(since.Revision.Number, 10)}, eraParam: {strconv.FormatUint(since.Revision.Era, 10)},
 		versionParam: {strconv.FormatUint(since.Version, 10)}}
 	u := url.URL{Scheme: "http", Host: net.JoinHostPort(host, strconv.Itoa(p.port)), Path: newsPath, RawQuery: q.Encode()}
--- a/internal/gossip/news_test.go
+++ b/internal/gossip/news_test.go
@@ -22,15 +22,15 @@
 	silent   bool
 }
 
-func (a *asked) Snapshot(router.Since) (router.News, bool) {
+func (a *asked) Snapshot(router.Since) (router.Update, bool) {
 	a.times++
-	return router.News{Revision: routing.Revision{Number: a.revision}}, !a.silent
+	return router.Update{Revision: routing.Revision{Number: a.revision}}, !a.silent
 }
 
 func revisionIn(t *testing.T, zipped []byte) uint64 {
 	z, err := gzip.NewReader(bytes.NewReader(zipped))
 	require.NoError(t, err)
-	var n router.News
+	var n router.Update
 	require.NoError(t, json.NewDecoder(z).Decode(&n))
 	return n.Revision.Number
 }
@@ -77,7 +77,7 @@
 			require.EqualValues(t, 5, revisionIn(t, w.Body.Bytes()))
 			continue
 		}
-		var n router.News
+		var n router.Update
 		require.NoError(t, json.Unmarshal(w.Body.Bytes(), &n))
 		require.EqualValues(t, 5, n.Revision.Number)
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -30,7 +30,7 @@
 	read func(on, shared bool)
 	drop func(addr string)
 	// check posts a Checked event.
-	check func(c router.Check)
+	check func(c router.Probe)
 }
 
 // control is the one thread that owns the reducer.
@@ -95,7 +95,7 @@
 		close(e.done)
 	case router.Event:
 		c.step(e)
-		if end, ok := e.(router.Ended); ok && (end.Outcome == router.Answered || end.Outcome == router.Canceled) {
+		if end, ok := e.(router.DispatchEnded); ok && (end.Outcome == router.Answered || end.Outcome == router.Canceled) {
 			delete(c.callers, end.ID)
 		}
 	}
@@ -121,7 +121,7 @@
 		if caller, ok := c.callers[e.ID]; ok {
 			caller.Abort(e.Attempt)
 		}
-	case router.Verdict:
+	case router.StallDecision:
 		c.toCaller(e.ID, e)
 	case router.Refuse:
 		c.toCaller(e.ID, e)
@@ -129,7 +129,7 @@
 	case router.GiveUp:
 		c.toCaller(e.ID, e)
 		delete(c.callers, e.ID)
-	case router.SendBeat:
+	case router.SendHeartbeat:
 		c.out.send(e.To, &gossippb.Packet{Beat: e.Beat})
 	case router.Send:
 		c.out.send(e.To, e.Packet)
@@ -137,14 +137,14 @@
 		c.out.read(e.On, e.Shared)
 	case router.Pull:
 		c.out.pull(e)
-	case router.InForce:
+	case router.ConfigActivated:
 		if c.table.Swap(e.Table) == nil {
 			close(c.configured)
 		}
 		c.log.Info().Uint64("version", e.Table.Config.Version).Int("routes", len(e.Table.Config.Routes)).Msg("Configuration in force.")
 	case router.BackendGone:
 		c.out.drop(e.Backend.Addr)
-	case router.Check:
+	case router.Probe:
 		c.out.check(e)
 	case router.Note:
 		c.metrics.Count("beliefs.changed", 1)
@@ -206,8 +206,8 @@
 }
 
 // Snapshot implements gossip.Source.
-func (c *control) Snapshot(since router.Since) (router.News, bool) {
-	var n router.News
+func (c *control) Snapshot(since router.Since) (router.Update, bool) {
+	var n router.Update
 	ok := c.ask(func(r *router.Router) { n = r.Snapshot(since) })
 	return n, ok
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -137,10 +137,10 @@
 		send: n.send,
 		pull: func(p router.Pull) { go n.pull(ctx, puller, p) },
 		drop: n.pool.Drop,
-		check: func(c router.Check) {
+		check: func(c router.Probe) {
 			go func() {
 				reached, refused := n.pool.Check(ctx, c.Backend.Addr, c.Keep)
-				n.control.Post(router.Checked{ID: c.Backend.ID, Start: c.Backend.Start, Reached: reached, Refused: refused})
+				n.control.Post(router.ProbeResult{ID: c.Backend.ID, Start: c.Backend.Start, Reached: reached, Refused: refused})
 			}()
 		},
 	}
@@ -260,21 +260,21 @@
 	n.heard.add(p, 1, size)
 	switch {
 	case p.Beat != nil:
-		n.control.Post(router.Heard{Beat: p.Beat})
+		n.control.Post(router.HeartbeatReceived{Heartbeat: p.Beat})
 	case p.Ask != nil:
-		n.control.Post(router.Asked{From: from, Ask: p.Ask})
+		n.control.Post(router.SlotRequestReceived{From: from, Ask: p.Ask})
 	case p.Offer != nil:
-		n.control.Post(router.Offered{From: from, Offer: p.Offer})
+		n.control.Post(router.SlotOfferReceived{From: from, Offer: p.Offer})
 	case p.Report != nil:
-		n.control.Post(router.Reported{From: from, Report: p.Report})
+		n.control.Post(router.ReportReceived{From: from, Report: p.Report})
 	case p.Occupancy != nil:
-		n.control.Post(router.Occupied{From: from, Occupancy: p.Occupancy})
+		n.control.Post(router.OccupancyReceived{From: from, Occupancy: p.Occupancy})
 	case p.Relay != nil:
-		n.control.Post(router.Relayed{From: from, Relay: p.Relay})
+		n.control.Post(router.RelayReceived{From: from, Relay: p.Relay})
 	case p.Charge != nil:
-		n.control.Post(router.ChargeAsked{From: from, Charge: p.Charge})
+		n.control.Post(router.ChargeRequestReceived{From: from, Charge: p.Charge})
 	case p.Charged != nil:
-		n.control.Post(router.ChargeAnswered{From: from, Charged: p.Charged})
+		n.control.Post(router.ChargeResponseReceived{From: from, Charged: p.Charged})
 	}
 }
 
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -43,7 +43,7 @@
 		}
 		n.log.Info().Bool("signal", asked).Bool("restart_needed", needsRestart(&current, next)).Msg("Settings changed.")
 		current = *next
-		n.control.Post(router.Settle{Seeds: next.Seeds, Bounds: next.Bounds})
+		n.control.Post(router.SettingsChanged{Seeds: next.Seeds, Bounds: next.Bounds})
 	}
 }
 
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -101,7 +101,7 @@
 		s.metrics.Count("store.failures", 1)
 		s.log.Warn().Err(err).Dur("pause", pause).Msg("The store gave no news.")
 		again := s.outdated(err)
-		s.post(router.StoreContact{OK: again})
+		s.post(router.StoreStatus{OK: again})
 		fresh = again // what is some seconds old may be older than the history that is left
 		if again {
 			continue
@@ -146,7 +146,7 @@
 			held = false
 			s.postListing(upToDate(all, l))
 		} else {
-			s.post(router.News{Changes: l.Changes, After: after, AsOf: l.AsOf, Revision: revisionOf(l.Changes), FromStore: true})
+			s.post(router.Update{Changes: l.Changes, After: after, AsOf: l.AsOf, Revision: revisionOf(l.Changes), FromStore: true})
 		}
 		after = routing.Latest(after, l.AsOf)
 		if len(l.Backends) > 0 || len(l.Evacuations) > 0 || l.Config != nil {
@@ -157,7 +157,7 @@
 }
 
 func (s *storeReader) postListing(l Listing) {
-	s.post(router.News{Changes: l.Changes, Full: true, AsOf: l.AsOf, Revision: revisionOf(l.Changes), FromStore: true})
+	s.post(router.Update{Changes: l.Changes, Full: true, AsOf: l.AsOf, Revision: revisionOf(l.Changes), FromStore: true})
 }
 
 // outdated tells that a watch failed because what was listed before says too little of the store as it is now.
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -51,9 +51,9 @@
 	var asOf []routing.Revision
 	for _, e := range posted {
 		switch e := e.(type) {
-		case router.News:
+		case router.Update:
 			asOf = append(asOf, e.AsOf)
-		case router.StoreContact:
+		case router.StoreStatus:
 			require.True(t, e.OK)
 		}
 	}
@@ -92,7 +92,7 @@
 		s := &lagging{compacted: compacted, stop: stop}
 		listed := 0
 		reader := &storeReader{store: s, log: zerolog.Nop(), metrics: telemetry.NewMetrics(), post: func(e router.Event) {
-			if _, ok := e.(router.News); ok {
+			if _, ok := e.(router.Update); ok {
 				listed++
 			}
 		}}
--- a/internal/router/ask.go
+++ b/internal/router/ask.go
@@ -51,7 +51,7 @@
 		return
 	}
 	if c.b == nil {
-		c.grounds.BeliefAge = r.oldestBelief()
+		c.grounds.ViewAge = r.oldestBelief()
 		r.refuse(q, c.grounds)
 		return
 	}
@@ -63,7 +63,7 @@
 	owner := r.ownerOf(c.b)
 	// Owners have no places at cold backend servers, to which few hosts send by themselves.
 	if c.b.cold(r.now) || q.alone || len(q.full) >= maxAsks || !r.answers(owner) {
-		c.grounds.BeliefAge = r.oldestBelief()
+		c.grounds.ViewAge = r.oldestBelief()
 		r.send(q, c.b, c.grounds)
 		return
 	}
@@ -245,7 +245,7 @@
 	q.owner = from
 	g := r.grounds()
 	g.InFlight, g.Limit, g.Wait = there.total(), int(o.Limit), time.Duration(o.WaitUs)*time.Microsecond
-	g.Owner, g.BeliefAge = from, r.now-a.at
+	g.Owner, g.ViewAge = from, r.now-a.at
 	r.send(q, b, g)
 }
 
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -114,7 +114,7 @@
 		b.Failing = r.hashesOf(func(b *backend) bool { return b.fails() })
 	}
 	fill(b)
-	r.emit(SendBeat{To: to, Beat: b})
+	r.emit(SendHeartbeat{To: to, Beat: b})
 }
 
 // beatTargets are the hosts that this one talks to directly and hears, and now and then those that
--- a/internal/router/beats_test.go
+++ b/internal/router/beats_test.go
@@ -9,14 +9,14 @@
 	"fireflyshift/internal/gossip/gossippb"
 )
 
-func beatsIn(list []Effect) int { return len(effectsOf[SendBeat](list)) }
+func beatsIn(list []Effect) int { return len(effectsOf[SendHeartbeat](list)) }
 
 // On a heavy day the hosts of a zone choose among the few engines that look free. With counts that
 // were told every 100 to 150 ms they all chose the same ones, and a quarter of the streams began
 // late. So what a host carries is told with the change itself, and in a burst once a gap.
 func TestChangeIsToldAtOnceAndBurstsAreBounded(t *testing.T) {
 	b := newBench(t, 4)
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	b.post(Tick{})
 	b.now += changeGap
 	send := func() int {
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -14,7 +14,7 @@
 	for _, engines := range []int{12, 112, 1000} {
 		b.Run(fmt.Sprintf("%d engines", engines), func(b *testing.B) {
 			r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
-			n := News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
+			n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
 				Services: []routing.Service{{Name: "m", Model: true, TokensPerEvent: 3}}}}}
 			for i := 0; i < engines; i++ {
 				n.Backends = append(n.Backends, changeOf(fmt.Sprintf("e%04d", i), 10, false))
@@ -30,7 +30,7 @@
 			for i := 0; i < b.N; i++ {
 				id := uint64(i + 1)
 				r.Reduce(time.Second, Submit{ID: id, Route: urgent, PromptTok: 2000, OutputTok: 300, Deadline: 10 * time.Second})
-				r.Reduce(time.Second, Gone{ID: id})
+				r.Reduce(time.Second, CallerLeft{ID: id})
 			}
 		})
 	}
@@ -43,7 +43,7 @@
 		b.Run(fmt.Sprintf("%d engines", engines), func(b *testing.B) {
 			z := newZones(b, 1, 20, 20)
 			h := z.hosts[0].r
-			n := News{FromStore: true, After: rev(50), AsOf: rev(50)}
+			n := Update{FromStore: true, After: rev(50), AsOf: rev(50)}
 			for i := range engines {
 				n.Backends = append(n.Backends, changeOf(fmt.Sprintf("f%04d", i), 60, false))
 			}
@@ -56,7 +56,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				h.Reduce(z.now, Occupied{from, word})
+				h.Reduce(z.now, OccupancyReceived{from, word})
 			}
 		})
 	}
--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -35,8 +35,8 @@
 	f.sends = map[string][]time.Duration{}
 	f.config = &routing.Config{Version: 2, Services: []routing.Service{{Name: "m", Model: true, TokensPerEvent: 8, ColdFor: testColdFor, ColdRate: testColdRate}}}
 	for _, h := range f.hosts {
-		f.post(h, Settle{Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: coldBounds})
-		f.post(h, News{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: f.config}})
+		f.post(h, SettingsChanged{Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: coldBounds})
+		f.post(h, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: f.config}})
 	}
 	f.run(2*time.Second, 0)
 	return f
@@ -44,7 +44,7 @@
 
 // back tells hosts that read the store that the engines of a zone have started again, all at once.
 func (f *coldFleet) back(zone int, readers ...*zoneHost) {
-	n := News{FromStore: true, After: rev(f.revision)}
+	n := Update{FromStore: true, After: rev(f.revision)}
 	for i := zone * f.engines; i < (zone+1)*f.engines; i++ {
 		f.revision++
 		ch := changeOf(fmt.Sprintf("e%03d", i), f.revision, false)
@@ -70,7 +70,7 @@
 
 // restartHosts kills all hosts and starts them again with what the store says.
 func (f *coldFleet) restartHosts(hosts []*zoneHost) {
-	all := News{FromStore: true, Full: true, AsOf: rev(f.revision), Revision: rev(f.revision), Changes: routing.Changes{Config: f.config}}
+	all := Update{FromStore: true, Full: true, AsOf: rev(f.revision), Revision: rev(f.revision), Changes: routing.Changes{Config: f.config}}
 	for _, b := range f.hosts[0].r.allBackends() {
 		ch := routing.BackendChange{Backend: b.Backend, Revision: b.revision}
 		ch.Cold = max(0, b.warming.until-f.hosts[0].r.now)
@@ -193,9 +193,9 @@
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1, Seeds: []string{"10.0.0.2"}, Bounds: coldBounds})
 	cold := changeOf("cold", 20, false)
 	cold.Cold = 10 * time.Second
-	r.Reduce(0, News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
+	r.Reduce(0, Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
 		Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: testColdRate}}}, Backends: []routing.BackendChange{cold}}})
-	r.Reduce(time.Second, Heard{Beat: &gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
+	r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	r.Reduce(time.Second, Tick{})
 	_, refused := has[Refuse](submitted(r, 1, time.Second))
 	require.True(t, refused)
@@ -209,7 +209,7 @@
 	asker := f.hosts[0]
 	question, owner := f.question(asker)
 	f.back(0, f.byIP[owner])
-	offers := offersOf(f.byIP[owner].r.Reduce(f.now, Asked{asker.ip, question}))
+	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
 	require.Nil(t, offers[0].Place)
 }
 
@@ -218,10 +218,10 @@
 	f := newColdFleet(t, 1, 20, 23)
 	asker := f.hosts[0]
 	question, owner := f.question(asker)
-	offers := offersOf(f.byIP[owner].r.Reduce(f.now, Asked{asker.ip, question}))
+	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
 	require.NotNil(t, offers[0].Place)
 	f.back(0, asker)
-	out := asker.r.Reduce(f.now, Offered{owner, offers[0]})
+	out := asker.r.Reduce(f.now, SlotOfferReceived{owner, offers[0]})
 	if d, ok := has[Dispatch](out); ok {
 		require.NotEqual(t, offers[0].Place.Backend, asker.r.backends[d.Backend.ID].hash)
 	}
@@ -231,7 +231,7 @@
 // A registration tells how long a backend server is still cold, and a later one that it is warm.
 func TestRegistrationsTellWhoIsCold(t *testing.T) {
 	r := lone(t, "a")
-	r.Reduce(0, News{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
+	r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 		Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: testColdRate}}}}})
 	ch := changeOf("a", 60, false)
 	ch.Cold = 2 * time.Second
@@ -254,7 +254,7 @@
 	for _, b := range []struct{ rate, over, slack float64 }{{1, 1.5, 0}, {0.5, 1, 1}, {20, 1, 0}, {3, 0, 0}, {0.2, 1, 0}} {
 		r := lone(t, "a")
 		r.opt.Bounds.ColdOver, r.opt.Bounds.ColdSlack = b.over, b.slack
-		r.Reduce(0, News{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
+		r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 			Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: b.rate}}}}})
 		ch := changeOf("a", 60, false)
 		ch.Cold = time.Minute
@@ -266,7 +266,7 @@
 			id++
 			if _, ok := has[Dispatch](submitted(r, id, now)); ok {
 				sent = append(sent, now)
-				r.Reduce(now, Gone{ID: id})
+				r.Reduce(now, CallerLeft{ID: id})
 			}
 		}
 		allowed := b.rate*max(1, b.over) + b.slack
--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -26,8 +26,8 @@
 }
 
 // listing is what a reader of the store posts.
-func listing(asOf routing.Revision, c routing.Changes) News {
-	return News{FromStore: true, Full: true, AsOf: asOf, Changes: c}
+func listing(asOf routing.Revision, c routing.Changes) Update {
+	return Update{FromStore: true, Full: true, AsOf: asOf, Changes: c}
 }
 
 func usable(r *Router, id string) bool {
@@ -48,10 +48,10 @@
 	gone := changeOf("b", 0, true)
 	gone.Revision = inEra(2, 22)
 	c.Backends = append(c.Backends, gone)
-	r.Reduce(13*time.Second, News{FromStore: true, After: inEra(2, 20), AsOf: inEra(2, 22), Changes: c})
+	r.Reduce(13*time.Second, Update{FromStore: true, After: inEra(2, 20), AsOf: inEra(2, 22), Changes: c})
 	require.True(t, usable(r, "new"))
 	require.False(t, usable(r, "b"))
-	r.Reduce(14*time.Second, News{After: rev(0), AsOf: rev(90), Revision: rev(90), Changes: servers(rev(80), "b", "ghost")})
+	r.Reduce(14*time.Second, Update{After: rev(0), AsOf: rev(90), Revision: rev(90), Changes: servers(rev(80), "b", "ghost")})
 	require.False(t, usable(r, "b"))
 	require.False(t, usable(r, "ghost"))
 	require.Equal(t, inEra(2, 22), r.news.complete)
@@ -69,7 +69,7 @@
 	require.True(t, usable(r, "stays"))
 	require.False(t, usable(r, "leaves"))
 	require.False(t, usable(r, "left"))
-	r.Reduce(14*time.Second, News{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 31), Changes: servers(inEra(1, 31), "leaves", "left")})
+	r.Reduce(14*time.Second, Update{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 31), Changes: servers(inEra(1, 31), "leaves", "left")})
 	require.False(t, usable(r, "leaves"))
 	require.True(t, usable(r, "left"), "it lives, as it has written anew")
 }
@@ -89,7 +89,7 @@
 	for _, id := range []string{"old", "lives", "ended"} {
 		require.True(t, usable(r, id), id)
 	}
-	r.Reduce(at+time.Second, News{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 21), Changes: servers(inEra(1, 21), "lives")})
+	r.Reduce(at+time.Second, Update{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 21), Changes: servers(inEra(1, 21), "lives")})
 	r.Reduce(at+eraPatience, Tick{})
 	require.True(t, usable(r, "lives"))
 	require.False(t, usable(r, "ended"))
@@ -113,14 +113,14 @@
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: reader.news.revision.Number,
 			Era: reader.news.revision.Era, Digest: 7}
 	}
-	refused.Reduce(2*time.Second, Heard{beat(1)})
-	pull, ok := has[Pull](refused.Reduce(2*time.Second+pullAfter, Heard{beat(2)}))
+	refused.Reduce(2*time.Second, HeartbeatReceived{beat(1)})
+	pull, ok := has[Pull](refused.Reduce(2*time.Second+pullAfter, HeartbeatReceived{beat(2)}))
 	require.True(t, ok)
 	require.Equal(t, rev(50), pull.Revision)
 	news := reader.Snapshot(pull.Since)
 	data, err := json.Marshal(news)
 	require.NoError(t, err)
-	var told News
+	var told Update
 	require.NoError(t, json.Unmarshal(data, &told))
 	told.From = "10.0.0.9"
 	out := refused.Reduce(3*time.Second, told)
@@ -135,10 +135,10 @@
 // on purpose.
 func TestConfigurationOutlivesAnOlderCopy(t *testing.T) {
 	r := lone(t, "a")
-	r.Reduce(time.Second, News{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Config: &routing.Config{Version: 9}}})
+	r.Reduce(time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Config: &routing.Config{Version: 9}}})
 	r.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{Config: &routing.Config{Version: 1}}))
 	require.EqualValues(t, 9, r.version())
-	r.Reduce(3*time.Second, News{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 21), Changes: routing.Changes{Config: &routing.Config{Version: 11}}})
+	r.Reduce(3*time.Second, Update{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 21), Changes: routing.Changes{Config: &routing.Config{Version: 11}}})
 	require.EqualValues(t, 11, r.version())
 }
 
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -100,7 +100,7 @@
 
 // endUnlisted takes back the zones that a complete listing no longer names. Where the listing is of a later era, the store may
 // have lost the request.
-func (r *Router) endUnlisted(n News) {
+func (r *Router) endUnlisted(n Update) {
 	listed := map[string]bool{}
 	for _, e := range n.Evacuations {
 		listed[e.Zone] = true
--- a/internal/router/evacuations_test.go
+++ b/internal/router/evacuations_test.go
@@ -10,12 +10,12 @@
 	"fireflyshift/internal/routing"
 )
 
-func evacuates(zone string, revision routing.Revision) News {
-	return News{FromStore: true, After: rev(50), AsOf: revision, Revision: revision,
+func evacuates(zone string, revision routing.Revision) Update {
+	return Update{FromStore: true, After: rev(50), AsOf: revision, Revision: revision,
 		Changes: routing.Changes{Evacuations: []routing.Evacuation{{Zone: zone, Revision: revision}}}}
 }
 
-func takesBack(zone string, revision routing.Revision) News {
+func takesBack(zone string, revision routing.Revision) Update {
 	n := evacuates(zone, revision)
 	n.Evacuations[0].Ended = true
 	return n
@@ -32,9 +32,9 @@
 	d := dispatchOf(t, r.Reduce(2*time.Second, Submit{ID: 1, Route: urgent, Deadline: time.Minute}))
 	require.Equal(t, "z0", d.Backend.Zone)
 	r.Reduce(3*time.Second, evacuates("z0", rev(70)))
-	second := dispatchOf(t, r.Reduce(4*time.Second, Ended{ID: 1, Outcome: Broken, Fault: true}))
+	second := dispatchOf(t, r.Reduce(4*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
 	require.Equal(t, "c", second.Backend.ID)
-	_, refused := has[GiveUp](r.Reduce(5*time.Second, Ended{ID: 1, Outcome: Broken, Fault: true}))
+	_, refused := has[GiveUp](r.Reduce(5*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
 	require.True(t, refused, "it has run, and nobody is left")
 	require.Equal(t, "c", dispatchOf(t, submitted(r, 2, 6*time.Second)).Backend.ID)
 	require.Equal(t, "evacuated", r.View().Backends[0].State)
@@ -43,12 +43,12 @@
 	registers(r, 6*time.Second, joins)
 	for id := uint64(10); id < 20; id++ {
 		require.Equal(t, "c", dispatchOf(t, submitted(r, id, 6*time.Second)).Backend.ID, "a server that joins the zone gets nothing either")
-		r.Reduce(6*time.Second, Gone{ID: id})
+		r.Reduce(6*time.Second, CallerLeft{ID: id})
 	}
 	r.Reduce(7*time.Second, evacuates("z1", rev(72)))
 	back, refused := has[Refuse](submitted(r, 3, 8*time.Second))
 	require.True(t, refused)
-	require.Positive(t, back.After)
+	require.Positive(t, back.RetryAfter)
 	r.Reduce(9*time.Second, takesBack("z0", rev(73)))
 	require.Equal(t, "z0", dispatchOf(t, submitted(r, 4, 10*time.Second)).Backend.Zone)
 }
@@ -58,10 +58,10 @@
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
 	question, owner := z.question(asker)
-	offers := offersOf(z.byIP[owner].r.Reduce(z.now, Asked{asker.ip, question}))
+	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 	require.NotNil(t, offers[0].Place)
 	asker.r.Reduce(z.now, evacuates("z0", rev(70)))
-	out := asker.r.Reduce(z.now, Offered{owner, offers[0]})
+	out := asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 	_, sent := has[Dispatch](out)
 	require.False(t, sent)
 	require.True(t, givesBack(out, offers[0].Place.Backend))
@@ -116,7 +116,7 @@
 	peer.Reduce(time.Second, n)
 	require.True(t, peer.evacuated("z0"))
 	require.Equal(t, r.digest(), peer.digest())
-	r.Reduce(2*time.Second, News{FromStore: true, Full: true, AsOf: rev(80), Changes: routing.Changes{
+	r.Reduce(2*time.Second, Update{FromStore: true, Full: true, AsOf: rev(80), Changes: routing.Changes{
 		Backends: []routing.BackendChange{changeOf("a", 10, false)}}})
 	require.False(t, r.evacuated("z0"))
 	require.NotEqual(t, r.digest(), peer.digest())
@@ -130,7 +130,7 @@
 // holds to it, though not for good.
 func TestEvacuationHoldsAgainstAnOlderCopy(t *testing.T) {
 	copyOf := func(r *Router, at time.Duration) {
-		r.Reduce(at, News{FromStore: true, Full: true, AsOf: routing.Revision{Era: 1, Number: 40}, Changes: routing.Changes{
+		r.Reduce(at, Update{FromStore: true, Full: true, AsOf: routing.Revision{Era: 1, Number: 40}, Changes: routing.Changes{
 			Backends: []routing.BackendChange{changeOf("a", 10, false)}}})
 	}
 	r, forgotten := lone(t, "a"), lone(t, "a")
@@ -170,7 +170,7 @@
 func TestEvacuationsOfOthersAreBounded(t *testing.T) {
 	r := lone(t, "a")
 	for i := range 3 * maxEvacuations {
-		r.Reduce(time.Second, Heard{Beat: &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: uint64(i + 1),
+		r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: uint64(i + 1),
 			Evacuations: []*gossippb.Evacuation{{Zone: itoa(uint64(i)), Revision: uint64(i)}}}})
 	}
 	require.LessOrEqual(t, len(r.evacuations), maxEvacuations)
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -29,14 +29,14 @@
 	Digest quarantine.Digest
 }
 
-// Began tells that a stream's first event has come, First after the request was sent.
-type Began struct {
+// StreamStarted tells that a stream's first event has come, First after the request was sent.
+type StreamStarted struct {
 	ID    uint64
 	First time.Duration
 }
 
-// Paced tells the mean time between the first events of a stream that goes on.
-type Paced struct {
+// StreamProgress tells the mean time between the first events of a stream that goes on.
+type StreamProgress struct {
 	ID       uint64
 	Interval time.Duration
 }
@@ -44,8 +44,8 @@
 // Stalled tells that the backend server has been silent for long. The answer is a Verdict.
 type Stalled struct{ ID uint64 }
 
-// Gone tells that the caller left before the answer was complete.
-type Gone struct{ ID uint64 }
+// CallerLeft tells that the caller left before the answer was complete.
+type CallerLeft struct{ ID uint64 }
 
 // Outcome is how a dispatch ended.
 type Outcome int
@@ -70,8 +70,8 @@
 	Canceled
 )
 
-// Ended tells how a dispatch ended.
-type Ended struct {
+// DispatchEnded tells how a dispatch ended.
+type DispatchEnded struct {
 	ID      uint64
 	Outcome Outcome
 	// Delivered tells that bytes of the answer have reached the caller: only a stream that goes on
@@ -90,71 +90,71 @@
 	Digest quarantine.Digest
 }
 
-// Said is what a start of a backend server says of itself in an answer.
-type Said struct {
+// BackendAnnouncement is what a start of a backend server says of itself in an answer.
+type BackendAnnouncement struct {
 	ID    string
 	Start uint64
 	// Leaving: it is about to leave.
 	Leaving bool
-	// Away is how long it wants nothing more from this host; zero where it does not say.
-	Away time.Duration
+	// HoldOff is how long it wants nothing more from this host; zero where it does not say.
+	HoldOff time.Duration
 }
 
-// Checked tells whether the address of a start of a backend server could be reached, or refused the connection; neither where
+// ProbeResult tells whether the address of a start of a backend server could be reached, or refused the connection; neither where
 // there was no answer.
-type Checked struct {
+type ProbeResult struct {
 	ID               string
 	Start            uint64
 	Reached, Refused bool
 }
 
-// Heard is a heartbeat of another host.
-type Heard struct{ Beat *gossippb.Beat }
+// HeartbeatReceived is a heartbeat of another host.
+type HeartbeatReceived struct{ Heartbeat *gossippb.Beat }
 
-// Asked is another host's question for a place at a backend server that this host owns.
-type Asked struct {
+// SlotRequestReceived is another host's question for a place at a backend server that this host owns.
+type SlotRequestReceived struct {
 	From string
 	Ask  *gossippb.Ask
 }
 
-// ChargeAsked is another host's question to the owner of a workspace's quota.
-type ChargeAsked struct {
+// ChargeRequestReceived is another host's question to the owner of a workspace's quota.
+type ChargeRequestReceived struct {
 	From   string
 	Charge *gossippb.Charge
 }
 
-// ChargeAnswered is the answer to this host's question.
-type ChargeAnswered struct {
+// ChargeResponseReceived is the answer to this host's question.
+type ChargeResponseReceived struct {
 	From    string
 	Charged *gossippb.Charged
 }
 
-// Offered is the answer to this host's question.
-type Offered struct {
+// SlotOfferReceived is the answer to this host's question.
+type SlotOfferReceived struct {
 	From  string
 	Offer *gossippb.Offer
 }
 
-// Reported is another host's word of one request at a backend server that this host owns.
-type Reported struct {
+// ReportReceived is another host's word of one request at a backend server that this host owns.
+type ReportReceived struct {
 	From   string
 	Report *gossippb.Report
 }
 
-// Occupied is an owner's word of what its backend servers carry.
-type Occupied struct {
+// OccupancyReceived is an owner's word of what its backend servers carry.
+type OccupancyReceived struct {
 	From      string
 	Occupancy *gossippb.Occupancy
 }
 
-// Relayed are sums of other zones that a zone mate has heard and passes on.
-type Relayed struct {
+// RelayReceived are sums of other zones that a zone mate has heard and passes on.
+type RelayReceived struct {
 	From  string
 	Relay *gossippb.Relay
 }
 
-// News are changes read from the platform's store or from another host.
-type News struct {
+// Update are changes read from the platform's store or from another host.
+type Update struct {
 	routing.Changes
 	// Full tells that the listing is complete as of AsOf: what it lacks is gone.
 	Full bool
@@ -167,69 +167,69 @@
 	From      string `json:"-"`
 }
 
-// StoreContact tells that the store answers, or does not.
-type StoreContact struct{ OK bool }
+// StoreStatus tells that the store answers, or does not.
+type StoreStatus struct{ OK bool }
 
 // Drain begins the shutdown; at Until, which is Grace later, the process ends.
 type Drain struct{ Until, Grace time.Duration }
 
-// Settle takes changed settings.
-type Settle struct {
+// SettingsChanged takes changed settings.
+type SettingsChanged struct {
 	Seeds  []string
 	Bounds Bounds
 }
 
-func (ChargeAsked) event()    {}
-func (ChargeAnswered) event() {}
-func (Settle) event()         {}
-func (Checked) event()        {}
-func (Said) event()           {}
-func (Asked) event()          {}
-func (Offered) event()        {}
-func (Reported) event()       {}
-func (Occupied) event()       {}
-func (Relayed) event()        {}
-func (Tick) event()           {}
-func (Submit) event()         {}
-func (Began) event()          {}
-func (Paced) event()          {}
-func (Stalled) event()        {}
-func (Gone) event()           {}
-func (Ended) event()          {}
-func (Heard) event()          {}
-func (News) event()           {}
-func (StoreContact) event()   {}
-func (Drain) event()          {}
+func (ChargeRequestReceived) event()  {}
+func (ChargeResponseReceived) event() {}
+func (SettingsChanged) event()        {}
+func (ProbeResult) event()            {}
+func (BackendAnnouncement) event()    {}
+func (SlotRequestReceived) event()    {}
+func (SlotOfferReceived) event()      {}
+func (ReportReceived) event()         {}
+func (OccupancyReceived) event()      {}
+func (RelayReceived) event()          {}
+func (Tick) event()                   {}
+func (Submit) event()                 {}
+func (StreamStarted) event()          {}
+func (StreamProgress) event()         {}
+func (Stalled) event()                {}
+func (CallerLeft) event()             {}
+func (DispatchEnded) event()          {}
+func (HeartbeatReceived) event()      {}
+func (Update) event()                 {}
+func (StoreStatus) event()            {}
+func (Drain) event()                  {}
 
 // Effect is an output of the reducer, for the node to carry out.
 type Effect interface{ effect() }
 
-// Grounds are what a decision was based on, for logs.
-type Grounds struct {
-	InFlight  int           // believed at the chosen backend server, or the least of the service
-	Limit     int           // for this priority there
-	BeliefAge time.Duration // of the oldest heartbeat that was counted
-	Version   uint64        // of the configuration
-	Era       uint64        // of the platform's store, by whose word the backend servers are known
-	Quota     QuotaGrounds
+// DecisionBasis are what a decision was based on, for logs.
+type DecisionBasis struct {
+	InFlight int           // believed at the chosen backend server, or the least of the service
+	Limit    int           // for this priority there
+	ViewAge  time.Duration // of the oldest heartbeat that was counted
+	Version  uint64        // of the configuration
+	Era      uint64        // of the platform's store, by whose word the backend servers are known
+	Quota    QuotaBasis
 	// Wait is the predicted time to a stream's first event at the chosen backend server.
 	Wait time.Duration
 	// Owner is the host that gave the place, or decided over the quota; empty where this host decided alone.
 	Owner string
-	// Known, Full and Dead count the service's backend servers: those that may be used, those of them
+	// Known, Full and Unreachable count the service's backend servers: those that may be used, those of them
 	// without room for this priority, and those to which no connection is believed possible. Cold are those of the full
-	// ones that bear no more from this host as they have just started. Barred may not be used at all: they leave, their
+	// ones that bear no more from this host as they have just started. Excluded may not be used at all: they leave, their
 	// availability zone is evacuated, or their region may not serve the request.
-	Known, Full, Dead, Cold, Barred int
+	Known, Full, Unreachable, Cold, Excluded int
 	// suspects are those of the full ones that are not trusted.
 	suspects int
 }
 
-// QuotaGrounds is what a refusal over a quota was based on, in the quota's unit.
-type QuotaGrounds struct {
-	Cost float64 // of the request
-	Left float64 // in the workspace's bucket, as this host believes
-	Own  float64 // in this host's own part of it
+// QuotaBasis is what a refusal over a quota was based on, in the quota's unit.
+type QuotaBasis struct {
+	Cost      float64 // of the request
+	Remaining float64 // in the workspace's bucket, as this host believes
+	OwnShare  float64 // in this host's own part of it
 }
 
 // Dispatch sends, or sends once more, a request to a backend server.
@@ -242,7 +242,7 @@
 	Keep int
 	// At is when it was decided: the permission is short-lived.
 	At      time.Duration
-	Grounds Grounds
+	Grounds DecisionBasis
 }
 
 // Cause is why a request ends without a backend server's answer.
@@ -266,30 +266,30 @@
 	Attempt int
 }
 
-// Verdict answers Stalled: give the dispatch up, for another backend server, or wait on.
-type Verdict struct {
-	ID   uint64
-	Move bool
+// StallDecision answers Stalled: give the dispatch up, for another backend server, or wait on.
+type StallDecision struct {
+	ID       uint64
+	Reassign bool
 }
 
 // Refuse ends a request that has not run, with the time to come back.
 type Refuse struct {
-	ID      uint64
-	Cause   Cause
-	After   time.Duration
-	Grounds Grounds
+	ID         uint64
+	Cause      Cause
+	RetryAfter time.Duration
+	Grounds    DecisionBasis
 }
 
 // GiveUp ends a request that may have run. PassOn delivers the failure that a backend server gave
 // and that was held back for a repeat which did not happen.
 type GiveUp struct {
-	ID     uint64
-	Cause  Cause
-	PassOn bool
+	ID             uint64
+	Cause          Cause
+	DeliverFailure bool
 }
 
-// SendBeat sends a heartbeat to hosts by their IP numbers.
-type SendBeat struct {
+// SendHeartbeat sends a heartbeat to hosts by their IP numbers.
+type SendHeartbeat struct {
 	To   []string
 	Beat *gossippb.Beat
 }
@@ -317,16 +317,16 @@
 	Version  uint64
 }
 
-// InForce tells that a newer configuration is in force.
-type InForce struct{ Table *routing.Table }
+// ConfigActivated tells that a newer configuration is in force.
+type ConfigActivated struct{ Table *routing.Table }
 
 // BackendGone tells that a backend server is not to be used any more, so that connections to it
 // can be closed.
 type BackendGone struct{ Backend routing.Backend }
 
-// Check asks whether a backend server can still be reached, as a Checked event. A connection that is made is kept for the next
+// Probe asks whether a backend server can still be reached, as a Checked event. A connection that is made is kept for the next
 // request, among at most Keep.
-type Check struct {
+type Probe struct {
 	Backend routing.Backend
 	Keep    int
 }
@@ -339,16 +339,16 @@
 	Age     time.Duration
 }
 
-func (Dispatch) effect()    {}
-func (Abort) effect()       {}
-func (Verdict) effect()     {}
-func (Refuse) effect()      {}
-func (GiveUp) effect()      {}
-func (SendBeat) effect()    {}
-func (Send) effect()        {}
-func (ReadStore) effect()   {}
-func (Pull) effect()        {}
-func (InForce) effect()     {}
-func (BackendGone) effect() {}
-func (Check) effect()       {}
-func (Note) effect()        {}
+func (Dispatch) effect()        {}
+func (Abort) effect()           {}
+func (StallDecision) effect()   {}
+func (Refuse) effect()          {}
+func (GiveUp) effect()          {}
+func (SendHeartbeat) effect()   {}
+func (Send) effect()            {}
+func (ReadStore) effect()       {}
+func (Pull) effect()            {}
+func (ConfigActivated) effect() {}
+func (BackendGone) effect()     {}
+func (Probe) effect()           {}
+func (Note) effect()            {}
--- a/internal/router/exhaustive_test.go
+++ b/internal/router/exhaustive_test.go
@@ -46,12 +46,12 @@
 }
 
 // ends are all ways in which a dispatch can end.
-func ends() []Ended {
-	var out []Ended
+func ends() []DispatchEnded {
+	var out []DispatchEnded
 	for o := Answered; o <= Canceled; o++ {
-		out = append(out, Ended{Outcome: o}, Ended{Outcome: o, Fault: true})
+		out = append(out, DispatchEnded{Outcome: o}, DispatchEnded{Outcome: o, Fault: true})
 		if o == Broken {
-			out = append(out, Ended{Outcome: o, Delivered: true}, Ended{Outcome: o, Delivered: true, Fault: true})
+			out = append(out, DispatchEnded{Outcome: o, Delivered: true}, DispatchEnded{Outcome: o, Delivered: true, Fault: true})
 		}
 	}
 	return out
@@ -85,7 +85,7 @@
 	out = append(out,
 		step{"stalled", func(l *life) []Effect { return l.b.post(Stalled{ID: 1}) }},
 		step{"late", func(l *life) []Effect { l.b.now += 4 * time.Second; return l.b.post(Tick{}) }},
-		step{"gone", func(l *life) []Effect { l.answered = true; l.flying = false; return l.b.post(Gone{ID: 1}) }})
+		step{"gone", func(l *life) []Effect { l.answered = true; l.flying = false; return l.b.post(CallerLeft{ID: 1}) }})
 	return out
 }
 
@@ -163,7 +163,7 @@
 	backend := func(rev uint64, removed bool) routing.Changes {
 		return routing.Changes{Backends: []routing.BackendChange{changeOf("x", rev, removed)}}
 	}
-	news := []News{
+	news := []Update{
 		{FromStore: true, After: rev(50), AsOf: rev(62), Revision: rev(61), Changes: backend(61, false)},
 		{After: rev(50), AsOf: rev(60), Changes: config(3)},
 		{FromStore: true, After: rev(62), AsOf: rev(70), Changes: config(5)},
--- a/internal/router/failing_test.go
+++ b/internal/router/failing_test.go
@@ -112,7 +112,7 @@
 func TestTwoHostsWordsMakeASuspect(t *testing.T) {
 	r := lone(t, "a", "b")
 	says := func(host string, seq uint64, failing ...uint32) {
-		r.Reduce(time.Second, Heard{Beat: &gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: seq, Failing: failing}})
+		r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: seq, Failing: failing}})
 	}
 	a := r.backends["a"]
 	says("10.0.0.8", 1, a.hash)
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -36,10 +36,10 @@
 			return
 		}
 		b := newBench(t, 2)
-		b.post(Heard{&beat})
+		b.post(HeartbeatReceived{&beat})
 		b.now += time.Second
 		b.post(Tick{})
-		b.post(Heard{&beat})
+		b.post(HeartbeatReceived{&beat})
 		b.submit(urgent, 0, 10)
 		b.prompt(1 << 30)
 		for _, e := range b.r.allBackends() {
@@ -80,9 +80,9 @@
 		for i := range fullMesh + 1 {
 			b.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
-		b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
+		b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 		ev := eventOf("10.0.0.2", &p)
-		if _, beat := ev.(Heard); beat {
+		if _, beat := ev.(HeartbeatReceived); beat {
 			return // an empty datagram
 		}
 		b.post(ev)
@@ -105,7 +105,7 @@
 	f.Add([]byte(`{"Config":{"Version":7},"Backends":[{"ID":"e0","Revision":99,"Removed":true}],"After":1,"AsOf":100}`))
 	f.Add([]byte(`{"Config":{"Version":0,"Workspaces":[{"Name":"w","Rate":-1}]},"Full":true,"Backends":[{}]}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		var n News
+		var n Update
 		if json.Unmarshal(data, &n) != nil {
 			return
 		}
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -163,7 +163,7 @@
 }
 
 // reportEnd tells the owner that a request ended, and what it showed of the backend server.
-func (r *Router) reportEnd(q *request, e Ended) {
+func (r *Router) reportEnd(q *request, e DispatchEnded) {
 	to := r.reportTo(q)
 	if to == "" {
 		return
@@ -177,7 +177,7 @@
 }
 
 // outcomeOf is what the end of a dispatch says of its backend server.
-func outcomeOf(e Ended) gossippb.Outcome {
+func outcomeOf(e DispatchEnded) gossippb.Outcome {
 	switch {
 	case e.Outcome == Answered:
 		return gossippb.Outcome_OUTCOME_SOUND
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -94,7 +94,7 @@
 // takeNews merges news from anywhere. What decides is the version of the configuration and the
 // revision of each registration, so that the order in which news come does not matter and an older
 // peer or a stale read cannot take anything back.
-func (r *Router) takeNews(n News) {
+func (r *Router) takeNews(n Update) {
 	if n.FromStore {
 		r.storeContact(true)
 		r.news.synced = true
@@ -129,7 +129,7 @@
 
 // advance notes up to which revision every change is known. Where that is of a later era, the store has come back from an older
 // copy of itself.
-func (r *Router) advance(n News, changed int) {
+func (r *Router) advance(n Update, changed int) {
 	was := r.news.complete
 	r.news.complete = routing.Latest(was, n.AsOf)
 	if r.news.complete.Era == was.Era {
@@ -221,7 +221,7 @@
 func (r *Router) announce() {
 	r.news.withheld = r.relaying() && r.now < startWait
 	if !r.news.withheld {
-		r.emit(InForce{r.table})
+		r.emit(ConfigActivated{r.table})
 	}
 }
 
@@ -251,7 +251,7 @@
 	r.quotaOrder = nil
 }
 
-func (r *Router) removeUnlisted(n News) {
+func (r *Router) removeUnlisted(n Update) {
 	listed := map[string]bool{}
 	for _, ch := range n.Backends {
 		listed[ch.ID] = true
@@ -373,8 +373,8 @@
 
 // Snapshot is what this host knows beyond what a peer that asks has already. At 3,000 backend servers
 // the whole is most of a megabyte, which a hundred hosts that ask at once cannot send in time.
-func (r *Router) Snapshot(since Since) News {
-	n := News{Revision: r.news.revision, After: since.Revision, AsOf: r.news.complete}
+func (r *Router) Snapshot(since Since) Update {
+	n := Update{Revision: r.news.revision, After: since.Revision, AsOf: r.news.complete}
 	if r.table != nil && r.version() > since.Version {
 		n.Config = r.table.Config
 	}
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -23,14 +23,14 @@
 func TestPullAsksOnlyForWhatIsMissing(t *testing.T) {
 	b := newBench(t, 1000) // complete as of revision 50
 	peer := newBench(t, 1000)
-	peer.post(News{FromStore: true, After: rev(50), AsOf: rev(90), Revision: rev(80), Changes: routing.Changes{
+	peer.post(Update{FromStore: true, After: rev(50), AsOf: rev(90), Revision: rev(80), Changes: routing.Changes{
 		Config: &routing.Config{Version: 9}, Backends: []routing.BackendChange{changeOf("new", 70, false), changeOf("e3", 80, true)}}})
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 9, Revision: 80, Digest: peer.r.digest()}
 	}
-	b.post(Heard{beat(1)})
+	b.post(HeartbeatReceived{beat(1)})
 	b.now += pullAfter + time.Millisecond
-	asked := effectsOf[Pull](b.post(Heard{beat(2)}))
+	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
 	require.Len(t, asked, 1)
 	require.Equal(t, Since{Revision: rev(50), Version: 1}, asked[0].Since)
 
@@ -46,7 +46,7 @@
 // the later one, or it would never ask for what it missed.
 func TestMissedChangeIsAskedFor(t *testing.T) {
 	b := newBench(t, 1)
-	b.post(News{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
+	b.post(Update{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
 	require.Equal(t, rev(50), b.r.news.complete)
 }
 
@@ -54,7 +54,7 @@
 // it: the host must not send callers to an address that nobody has, or that another service has.
 func TestOldRegistrationFromAPeerIsNotTaken(t *testing.T) {
 	b := newBench(t, 1)
-	b.post(News{Revision: rev(40), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("ghost", 40, false)}}})
+	b.post(Update{Revision: rev(40), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("ghost", 40, false)}}})
 	require.Nil(t, b.r.backends["ghost"])
 }
 
@@ -71,7 +71,7 @@
 			ch.Zone = zone
 			list = append(list, ch)
 		}
-		b.post(News{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Backends: list}})
+		b.post(Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Backends: list}})
 		for i := 0; i < fullMesh; i++ {
 			b.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
@@ -82,7 +82,7 @@
 	}
 	b := withServers()
 	s0 := b.r.backends["s0"]
-	b.post(Heard{&gossippb.Beat{Host: "10.0.2.1", Zone: "z2", Incarnation: 1, Seq: 1,
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.2.1", Zone: "z2", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: s0.hash, InFlight: counts{4}.pack()}}}})
 	sum := b.r.ownZoneSum()
 	loads := loadsOf(sum.Loads)
@@ -92,10 +92,10 @@
 
 	hearer := withServers()
 	hearer.r.opt.Zone = "z1"
-	hearer.post(Heard{&gossippb.Beat{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seq: 1}})
+	hearer.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seq: 1}})
 	sum.Speaker = "10.0.0.9"
 	hearer.r.opt.Host = "10.0.1.1"
-	hearer.post(Relayed{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
+	hearer.post(RelayReceived{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
 	require.Equal(t, 5, hearer.r.backends["s0"].inFlight(), "its own one is in the sum already")
 }
 
@@ -122,7 +122,7 @@
 	for i := 0; i <= fullMesh; i++ {
 		reader.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
-	reader.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
+	reader.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	var list []routing.BackendChange
 	for i := 0; i < 17; i++ {
 		ch := changeOf(fmt.Sprintf("e%d", i), uint64(60+i), false)
@@ -131,8 +131,8 @@
 	}
 	mate := newBench(t, 17)
 	told := 0
-	for _, e := range reader.post(News{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
-		if s, ok := e.(SendBeat); ok && len(s.Beat.Changes) > 0 {
+	for _, e := range reader.post(Update{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
+		if s, ok := e.(SendHeartbeat); ok && len(s.Beat.Changes) > 0 {
 			mate.r.takeChanges(s.Beat.Changes)
 			told++
 		}
@@ -153,9 +153,9 @@
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: 90, Digest: 7}
 	}
-	b.post(Heard{beat(1)})
+	b.post(HeartbeatReceived{beat(1)})
 	b.now += pullAfter + time.Millisecond
-	asked := effectsOf[Pull](b.post(Heard{beat(2)}))
+	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
 	require.Len(t, asked, 1)
 	require.Equal(t, rev(50), asked[0].Revision)
 }
@@ -168,7 +168,7 @@
 	b := newBench(t, 0)
 	data, err := json.Marshal([]routing.BackendChange{changeOf("late", 60, false)})
 	require.NoError(t, err)
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 2}})
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1, Changes: data}})
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 2}})
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1, Changes: data}})
 	require.Contains(t, b.r.backends, "late")
 }
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -150,7 +150,7 @@
 type choice struct {
 	b       *backend
 	class   class
-	grounds Grounds
+	grounds DecisionBasis
 }
 
 func (r *Router) searchFor(q *request, where scope) search {
@@ -162,9 +162,9 @@
 }
 
 // place chooses a backend server anywhere by what this host believes.
-func (r *Router) place(q *request) (*backend, Grounds) {
+func (r *Router) place(q *request) (*backend, DecisionBasis) {
 	c := r.placeIn(q, anywhere)
-	c.grounds.BeliefAge = r.oldestBelief()
+	c.grounds.ViewAge = r.oldestBelief()
 	return c.b, c.grounds
 }
 
@@ -217,11 +217,11 @@
 }
 
 // consider puts a backend server into the list of its class, if it may be used and has room.
-func (s *search) consider(b *backend, g *Grounds, lists *[classes][]candidate) {
+func (s *search) consider(b *backend, g *DecisionBasis, lists *[classes][]candidate) {
 	ok, doubt := b.usable(s.r.now)
 	if !ok || !s.r.mayServe(s.q.Route, s.q.Workspace, b.Zone) {
 		if !b.removed {
-			g.Barred++
+			g.Excluded++
 		}
 		return
 	}
@@ -231,7 +231,7 @@
 	g.Known++
 	c := s.classOf(b, doubt)
 	if c == dead {
-		g.Dead++
+		g.Unreachable++
 	}
 	held, limit := b.inFlight(), s.limitFor(b)
 	if g.InFlight < 0 || held < g.InFlight {
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -28,7 +28,7 @@
 	b := &bench{t: t, now: time.Second}
 	b.r = New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1,
 		Bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000}})
-	n := News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
+	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
 		Services: []routing.Service{{Name: "m", Model: true, TokensPerEvent: 3}}}}}
 	for i := 0; i < engines; i++ {
 		n.Backends = append(n.Backends, routing.BackendChange{Revision: rev(10), Backend: routing.Backend{ID: fmt.Sprintf("e%d", i), Addr: "a", Zone: "z0", Service: "m", Slots: 5, Model: true}})
@@ -82,7 +82,7 @@
 	for {
 		if _, refused := b.submit(hint, routing.LeastUrgent, 100); refused != nil {
 			require.Equal(t, Overloaded, refused.Cause)
-			require.Positive(t, refused.After, "told when to come back")
+			require.Positive(t, refused.RetryAfter, "told when to come back")
 			break
 		}
 		hints++
@@ -132,7 +132,7 @@
 	b := newBench(t, 2)
 	dead := b.r.backends["e0"].hash
 	say := func(host string) {
-		b.post(Heard{&gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: 1, Dead: []uint32{dead}}})
+		b.post(HeartbeatReceived{&gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: 1, Dead: []uint32{dead}}})
 	}
 	say("10.0.0.2")
 	engine, _ := b.submit(urgent, 0, 10)
@@ -150,7 +150,7 @@
 	b := newBench(t, 2)
 	b.r.backends["e0"].Zone = "z1"
 	b.r.backends["e1"].own.counts[0] = 3
-	b.post(Heard{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1}})
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1}})
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e0", engine)
 	b.now += cutAfter
@@ -164,14 +164,14 @@
 	b := newBench(t, 8)
 	for i := 0; i < 60; i++ { // earns budget
 		b.submit(urgent, 0, 10)
-		b.post(Ended{ID: b.next, Outcome: Answered})
+		b.post(DispatchEnded{ID: b.next, Outcome: Answered})
 	}
 	b.submit(urgent, 0, 10)
 	id := b.next
 	runs := 1
 	for {
 		again := false
-		for _, e := range b.post(Ended{ID: id, Outcome: Broken}) {
+		for _, e := range b.post(DispatchEnded{ID: id, Outcome: Broken}) {
 			if _, ok := e.(Dispatch); ok {
 				again = true
 				runs++
@@ -190,17 +190,17 @@
 	b := newBench(t, 2)
 	for i := 0; i < 20; i++ {
 		b.submit(urgent, 0, 10)
-		b.post(Ended{ID: b.next, Outcome: Answered})
+		b.post(DispatchEnded{ID: b.next, Outcome: Answered})
 	}
 	b.submit(urgent, 0, 10)
 	id := b.next
-	verdict := func() bool { return b.post(Stalled{ID: id})[0].(Verdict).Move }
+	verdict := func() bool { return b.post(Stalled{ID: id})[0].(StallDecision).Reassign }
 	for i := 0; i < 20; i++ {
 		b.submit(urgent, 0, 10)
 	}
 	require.False(t, verdict())
 	for i := uint64(1); i <= 20; i++ {
-		b.post(Ended{ID: id + i, Outcome: Answered})
+		b.post(DispatchEnded{ID: id + i, Outcome: Answered})
 	}
 	require.True(t, verdict())
 }
@@ -212,7 +212,7 @@
 	now := time.Second
 	beat := func(seq uint64, contact bool) {
 		for i := 1; i <= 20; i++ {
-			r.Reduce(now, Heard{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: seq, ReadsStore: contact}})
+			r.Reduce(now, HeartbeatReceived{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: seq, ReadsStore: contact}})
 		}
 	}
 	reads := func() bool { return r.news.reading }
@@ -234,8 +234,8 @@
 // belong to another.
 func TestLapsedRegistrationIsUsedBrieflyOnly(t *testing.T) {
 	b := newBench(t, 1)
-	b.post(StoreContact{OK: false})
-	b.post(News{FromStore: true, Full: true, AsOf: rev(60)})
+	b.post(StoreStatus{OK: false})
+	b.post(Update{FromStore: true, Full: true, AsOf: rev(60)})
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e0", engine)
 	b.now += doubtFor
@@ -249,9 +249,9 @@
 	b := newBench(t, 1)
 	ch := routing.BackendChange{Revision: rev(55), Backend: b.r.backends["e0"].Backend}
 	ch.Draining = true
-	b.post(News{FromStore: true, Revision: rev(55), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
-	b.post(StoreContact{OK: false})
-	b.post(News{FromStore: true, Full: true, AsOf: rev(60)})
+	b.post(Update{FromStore: true, Revision: rev(55), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
+	b.post(StoreStatus{OK: false})
+	b.post(Update{FromStore: true, Full: true, AsOf: rev(60)})
 	_, refused := b.submit(urgent, 0, 10)
 	require.NotNil(t, refused)
 }
@@ -277,7 +277,7 @@
 	b := newBench(t, 1)
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e0", engine)
-	b.post(Ended{ID: 1, Outcome: WrongInstance})
+	b.post(DispatchEnded{ID: 1, Outcome: WrongInstance})
 	b.now += time.Minute
 	_, refused := b.submit(urgent, 0, 10)
 	require.NotNil(t, refused)
@@ -293,7 +293,7 @@
 	e0.Zone = "z1"
 	b.r.backends["e1"].own.counts[0] = 5 + headroom
 	hear := func(seq uint64) {
-		b.post(Heard{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: seq}})
+		b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: seq}})
 	}
 	hear(1)
 	b.now += time.Second
@@ -316,8 +316,8 @@
 	b.now += takeWhileDraining
 	_, refused := b.submit(hint, 2, 10)
 	require.Equal(t, ShutDown, refused.Cause)
-	require.LessOrEqual(t, refused.After, 10*time.Millisecond)
-	require.Positive(t, refused.After)
+	require.LessOrEqual(t, refused.RetryAfter, 10*time.Millisecond)
+	require.Positive(t, refused.RetryAfter)
 }
 
 // Engines of one slot free a place once in a second, those of many slots every few milliseconds. Streams
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -44,8 +44,8 @@
 func (r *Router) refuseQuarantined(q *request, back time.Duration) {
 	r.close(q)
 	if q.ran {
-		r.emit(GiveUp{ID: q.ID, Cause: Quarantined, PassOn: true})
+		r.emit(GiveUp{ID: q.ID, Cause: Quarantined, DeliverFailure: true})
 		return
 	}
-	r.emit(Refuse{ID: q.ID, Cause: Quarantined, After: back, Grounds: r.grounds()})
+	r.emit(Refuse{ID: q.ID, Cause: Quarantined, RetryAfter: back, Grounds: r.grounds()})
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -47,11 +47,11 @@
 		bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, QuotaWindow: quotaWindow, QuotaOver: 0.25,
 			QuotaSlack: 190_000}}
 	for _, h := range f.hosts {
-		f.post(h, Settle{Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
+		f.post(h, SettingsChanged{Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
 		cfg := *h.r.table.Config
 		cfg.Version = 2
 		cfg.Workspaces = []routing.Workspace{f.workspace}
-		f.post(h, News{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &cfg}})
+		f.post(h, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &cfg}})
 	}
 	f.run(2*time.Second, 0)
 	return f
@@ -100,7 +100,7 @@
 	h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: incarnation, Seed: incarnation, Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
 	h.born = f.now
 	cfg := *f.hosts[1].r.table.Config
-	f.post(h, News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &cfg}})
+	f.post(h, Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &cfg}})
 }
 
 // One workspace of a large fleet asks for six times its quota from one moment on. Hosts that heard of each other
@@ -274,7 +274,7 @@
 	spent := func() float64 { return owner.r.quotas["w"].Spent() }
 	f.next++
 	f.post(asker, Submit{ID: f.next, Route: urgent, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
-	f.post(asker, Gone{ID: f.next}) // its caller leaves before the owner answers
+	f.post(asker, CallerLeft{ID: f.next}) // its caller leaves before the owner answers
 	f.run(20*time.Millisecond, 0)
 	require.Zero(t, spent())
 
@@ -298,7 +298,7 @@
 	for _, h := range f.hosts[:16] {
 		require.Equal(t, owners, h.r.quotaOwners("w"), "%s", h.ip)
 		var answer *gossippb.Charged
-		for _, e := range effectsOf[Send](h.r.Reduce(f.now, ChargeAsked{"10.0.0.99", &gossippb.Charge{Number: 1, Workspace: "w", Cost: 10}})) {
+		for _, e := range effectsOf[Send](h.r.Reduce(f.now, ChargeRequestReceived{"10.0.0.99", &gossippb.Charge{Number: 1, Workspace: "w", Cost: 10}})) {
 			answer = e.Packet.Charged
 		}
 		require.NotNil(t, answer)
@@ -315,7 +315,7 @@
 	for i := range workspaces {
 		cfg.Workspaces = append(cfg.Workspaces, routing.Workspace{Name: fmt.Sprintf("w%03d", i), Rate: 1e6, Burst: 1e6, InTokens: true})
 	}
-	b.post(News{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: cfg}})
+	b.post(Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: cfg}})
 	for _, q := range b.r.quotas {
 		ok, _ := q.Admit(b.now, 10, b.r.ownPart())
 		require.True(t, ok)
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -109,7 +109,7 @@
 	ok, back := r.admit(quota, q.Cost, part)
 	if !ok {
 		delete(r.requests, q.ID)
-		r.emit(Refuse{ID: q.ID, Cause: OverQuota, After: back, Grounds: r.quotaGrounds(q, quota)})
+		r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: back, Grounds: r.quotaGrounds(q, quota)})
 		return
 	}
 	q.charged = true
@@ -124,11 +124,11 @@
 	return ok, back
 }
 
-func (r *Router) quotaGrounds(q *request, quota *limit.Quota) Grounds {
+func (r *Router) quotaGrounds(q *request, quota *limit.Quota) DecisionBasis {
 	g := r.grounds()
-	g.BeliefAge = r.oldestBelief()
+	g.ViewAge = r.oldestBelief()
 	g.Quota.Cost = q.Cost
-	g.Quota.Left, g.Quota.Own = quota.Left()
+	g.Quota.Remaining, g.Quota.OwnShare = quota.Left()
 	return g
 }
 
@@ -202,9 +202,9 @@
 	}
 	delete(r.requests, q.ID)
 	g := r.grounds()
-	g.Owner, g.BeliefAge = from, r.now-c.at
-	g.Quota = QuotaGrounds{Cost: q.Cost, Left: a.Left, Own: a.Own}
-	r.emit(Refuse{ID: q.ID, Cause: OverQuota, After: time.Duration(a.BackMs) * time.Millisecond, Grounds: g})
+	g.Owner, g.ViewAge = from, r.now-c.at
+	g.Quota = QuotaBasis{Cost: q.Cost, Remaining: a.Left, OwnShare: a.Own}
+	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Grounds: g})
 }
 
 // chargeAlone decides for a request whose owner does not.
--- a/internal/router/regions_test.go
+++ b/internal/router/regions_test.go
@@ -30,12 +30,12 @@
 			to.Regions = route
 			out := r.Reduce(at, Submit{ID: id, Route: &to, Workspace: &routing.Workspace{Name: "w", Regions: workspace}, Deadline: time.Minute})
 			if back, refused := has[Refuse](out); refused {
-				require.Positive(t, back.After)
+				require.Positive(t, back.RetryAfter)
 				seen["refused"] = true
 				continue
 			}
 			seen[dispatchOf(t, out).Backend.ID] = true
-			r.Reduce(at, Gone{ID: id})
+			r.Reduce(at, CallerLeft{ID: id})
 		}
 		return seen
 	}
@@ -55,7 +55,7 @@
 func TestUnknownRegionsAreNoted(t *testing.T) {
 	r := lone(t, "a")
 	r.opt.Regions = map[string]string{"z0": "north"}
-	out := r.Reduce(time.Second, News{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
+	out := r.Reduce(time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 		Routes: []routing.Route{{Name: "x", Regions: []string{"north", "atlantis"}}, {Name: "y", Regions: []string{"atlantis"}}}}}})
 	var noted []string
 	for _, n := range effectsOf[Note](out) {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -70,11 +70,11 @@
 func (r *Router) submit(e Submit) {
 	q := &request{Submit: e}
 	if left := r.drainLeft(e); left {
-		r.emit(Refuse{ID: e.ID, Cause: ShutDown, After: DrainBack})
+		r.emit(Refuse{ID: e.ID, Cause: ShutDown, RetryAfter: DrainBack})
 		return
 	}
 	if e.Deadline <= r.now {
-		r.emit(Refuse{ID: e.ID, Cause: OutOfTime, After: 0})
+		r.emit(Refuse{ID: e.ID, Cause: OutOfTime, RetryAfter: 0})
 		return
 	}
 	if r.requests[e.ID] != nil {
@@ -82,7 +82,7 @@
 		return
 	}
 	if back, yes := r.quarantined(q); yes {
-		r.emit(Refuse{ID: e.ID, Cause: Quarantined, After: back, Grounds: r.grounds()})
+		r.emit(Refuse{ID: e.ID, Cause: Quarantined, RetryAfter: back, Grounds: r.grounds()})
 		return
 	}
 	q.service = r.chooseService(e.Route, e.Workspace)
@@ -128,7 +128,7 @@
 }
 
 // send counts a request at a backend server and lets it leave.
-func (r *Router) send(q *request, b *backend, g Grounds) {
+func (r *Router) send(q *request, b *backend, g DecisionBasis) {
 	q.attempt++
 	q.backend = b
 	r.inv.Check(!q.ran || q.Route.Repeatable(), "request %d of %s runs again", q.ID, q.Route.Name)
@@ -164,26 +164,26 @@
 }
 
 // grounds are those of any decision: by which news it is made.
-func (r *Router) grounds() Grounds {
-	return Grounds{Version: r.version(), Era: r.news.complete.Era}
+func (r *Router) grounds() DecisionBasis {
+	return DecisionBasis{Version: r.version(), Era: r.news.complete.Era}
 }
 
 // refuse ends a request for which there is no place, truly: only what has not run is called so.
-func (r *Router) refuse(q *request, g Grounds) {
+func (r *Router) refuse(q *request, g DecisionBasis) {
 	cause := Overloaded
 	if g.InFlight < 0 {
 		cause = NoBackend
 	}
 	r.close(q)
 	if q.ran {
-		r.emit(GiveUp{ID: q.ID, Cause: cause, PassOn: true})
+		r.emit(GiveUp{ID: q.ID, Cause: cause, DeliverFailure: true})
 		return
 	}
 	after := r.comeBack(q)
 	if at := r.backAt(q.service); cause == NoBackend && at > 0 {
 		after = max(after, at-r.now)
 	}
-	r.emit(Refuse{ID: q.ID, Cause: cause, After: after, Grounds: g})
+	r.emit(Refuse{ID: q.ID, Cause: cause, RetryAfter: after, Grounds: g})
 }
 
 // comeBack is when a refused caller should return: the most urgent first, spread, and within the
@@ -196,12 +196,12 @@
 // gone ends a request whose caller left; the traffic side stops the work.
 func (r *Router) gone(id uint64) {
 	if q, ok := r.requests[id]; ok {
-		r.release(q, Ended{Outcome: Canceled})
+		r.release(q, DispatchEnded{Outcome: Canceled})
 		r.close(q)
 	}
 }
 
-func (r *Router) ended(e Ended) {
+func (r *Router) ended(e DispatchEnded) {
 	q, ok := r.requests[e.ID]
 	if !ok {
 		return
@@ -218,7 +218,7 @@
 		r.close(q)
 	case TimedOut:
 		r.close(q)
-		r.emit(GiveUp{ID: q.ID, Cause: OutOfTime, PassOn: true})
+		r.emit(GiveUp{ID: q.ID, Cause: OutOfTime, DeliverFailure: true})
 	case NotSent, Rejected, WrongInstance:
 		q.ran = q.runs > 1
 		q.runs--
@@ -229,7 +229,7 @@
 }
 
 // paceOf is the pace that a whole answer showed: the time between events, or to a plain answer.
-func paceOf(q *request, e Ended) time.Duration {
+func paceOf(q *request, e DispatchEnded) time.Duration {
 	if q.Route.Kind != routing.Streaming {
 		return e.First
 	}
@@ -237,7 +237,7 @@
 }
 
 // judge learns from how a dispatch ended.
-func (r *Router) judge(b *backend, q *request, e Ended) {
+func (r *Router) judge(b *backend, q *request, e DispatchEnded) {
 	switch e.Outcome {
 	case Answered:
 		b.succeeded(q.sentAt)
@@ -265,7 +265,7 @@
 
 // sendElsewhere tries the next backend server after proof that nothing ran. What reached the first
 // one counts as an arrival all the same, so that a rejected send costs retry budget.
-func (r *Router) sendElsewhere(q *request, e Ended) {
+func (r *Router) sendElsewhere(q *request, e DispatchEnded) {
 	q.tried = append(q.tried, q.backend.ID)
 	reached := e.Outcome != NotSent
 	if reached {
@@ -279,7 +279,7 @@
 }
 
 // repeat runs a request again where its kind, its route's bound and the retry budget allow it.
-func (r *Router) repeat(q *request, e Ended) {
+func (r *Router) repeat(q *request, e DispatchEnded) {
 	q.tried = append(q.tried, q.backend.ID)
 	allowed := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
 	if e.Delivered && q.Route.Kind != routing.Streaming {
@@ -293,7 +293,7 @@
 		}
 	}
 	r.close(q)
-	r.emit(GiveUp{ID: q.ID, Cause: BackendLost, PassOn: true})
+	r.emit(GiveUp{ID: q.ID, Cause: BackendLost, DeliverFailure: true})
 }
 
 // stalled decides whether a request whose backend server is silent moves to another one. It moves
@@ -302,7 +302,7 @@
 func (r *Router) stalled(id uint64) {
 	q, ok := r.requests[id]
 	if !ok {
-		r.emit(Verdict{ID: id})
+		r.emit(StallDecision{ID: id})
 		return
 	}
 	move := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
@@ -314,7 +314,7 @@
 		move = b != nil && r.budgetOf(q.service).Spend(r.now, r.hosts())
 	}
 	q.prepaid = move
-	r.emit(Verdict{ID: id, Move: move})
+	r.emit(StallDecision{ID: id, Reassign: move})
 }
 
 // promptDone takes a request's prompt out of what its backend server has still to read.
@@ -324,7 +324,7 @@
 }
 
 // release takes a request out of the counts of its backend server.
-func (r *Router) release(q *request, e Ended) {
+func (r *Router) release(q *request, e DispatchEnded) {
 	if q.backend == nil {
 		return
 	}
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -23,7 +23,7 @@
 
 // tell posts changes as a peer would tell them.
 func (b *bench) tell(changes ...routing.BackendChange) []Effect {
-	return b.post(News{Changes: routing.Changes{Backends: changes}})
+	return b.post(Update{Changes: routing.Changes{Backends: changes}})
 }
 
 // serves tells whether e0 would get a request now.
@@ -48,7 +48,7 @@
 	b.learn("e0", 400*time.Millisecond)
 	old.refused(b.now)
 	old.replaced = true
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: old.hash, InFlight: counts{3}.pack()}}}})
 
 	require.Equal(t, []Abort{{ID: first, Attempt: 1}}, effectsOf[Abort](b.tell(startOf(2000, 70))))
@@ -58,8 +58,8 @@
 	require.True(t, b.serves())
 	require.False(t, next.suspect(b.now))
 
-	effects := b.post(Ended{ID: first, Outcome: Broken, Fault: true})
-	require.Equal(t, GiveUp{ID: first, Cause: BackendLost, PassOn: true}, effects[0], "whether it ran is unknown")
+	effects := b.post(DispatchEnded{ID: first, Outcome: Broken, Fault: true})
+	require.Equal(t, GiveUp{ID: first, Cause: BackendLost, DeliverFailure: true}, effects[0], "whether it ran is unknown")
 	require.Zero(t, next.failures)
 	require.Zero(t, next.own.total())
 	engine, _ := b.submit(hint, 2, 10)
@@ -97,7 +97,7 @@
 // more work, not even as long as a lapsed one would, until it registers again.
 func TestForeignRegistrationNamesNoServer(t *testing.T) {
 	b := newBench(t, 1)
-	b.post(StoreContact{OK: false}) // so that a lapse would be doubted
+	b.post(StoreStatus{OK: false}) // so that a lapse would be doubted
 	b.tell(foreign(60))
 	require.False(t, b.serves())
 	b.tell(changeOf("e0", 61, false))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -133,41 +133,41 @@
 		r.tick()
 	case Submit:
 		r.submit(e)
-	case Began:
+	case StreamStarted:
 		r.began(e)
-	case Paced:
+	case StreamProgress:
 		r.paced(e)
 	case Stalled:
 		r.stalled(e.ID)
-	case Gone:
+	case CallerLeft:
 		r.gone(e.ID)
-	case Ended:
+	case DispatchEnded:
 		r.ended(e)
-	case Heard:
-		r.heard(e.Beat)
-	case Asked:
+	case HeartbeatReceived:
+		r.heard(e.Heartbeat)
+	case SlotRequestReceived:
 		r.asked(e.From, e.Ask)
-	case Offered:
+	case SlotOfferReceived:
 		r.offered(e.From, e.Offer)
-	case Reported:
+	case ReportReceived:
 		r.reported(e.From, e.Report)
-	case Occupied:
+	case OccupancyReceived:
 		r.takeOccupancy(e.From, e.Occupancy)
-	case ChargeAsked:
+	case ChargeRequestReceived:
 		r.chargeAsked(e.From, e.Charge)
-	case ChargeAnswered:
+	case ChargeResponseReceived:
 		r.chargeAnswered(e.From, e.Charged)
-	case Relayed:
+	case RelayReceived:
 		r.takeZones(r.opt.Zone, e.Relay.Zones)
-	case News:
+	case Update:
 		r.takeNews(e)
-	case StoreContact:
+	case StoreStatus:
 		r.storeContact(e.OK)
-	case Said:
+	case BackendAnnouncement:
 		r.said(e)
-	case Checked:
+	case ProbeResult:
 		r.checked(e)
-	case Settle:
+	case SettingsChanged:
 		r.settle(e)
 	case Drain:
 		r.drain = &e
@@ -181,7 +181,7 @@
 }
 
 // settle takes changed settings; limits go on with the new bounds from what is spent.
-func (r *Router) settle(e Settle) {
+func (r *Router) settle(e SettingsChanged) {
 	r.opt.Seeds = e.Seeds
 	if e.Bounds == r.opt.Bounds {
 		return
--- a/internal/router/said.go
+++ b/internal/router/said.go
@@ -16,7 +16,7 @@
 // said takes what a backend server says of itself in an answer. Its registration may say otherwise for long: it is written
 // through the store, which may be away, and read later. So what was heard holds for that start of the server, whatever a
 // registration of it says afterwards.
-func (r *Router) said(e Said) {
+func (r *Router) said(e BackendAnnouncement) {
 	b, ok := r.backends[e.ID]
 	if !ok || b.Start != e.Start {
 		return
@@ -25,8 +25,8 @@
 		b.saidLeaving = true
 		r.markLeaving(b, r.opt.Host)
 	}
-	if e.Away > 0 {
-		r.stayAway(b, min(e.Away, awayMost))
+	if e.HoldOff > 0 {
+		r.stayAway(b, min(e.HoldOff, awayMost))
 	}
 }
 
--- a/internal/router/said_test.go
+++ b/internal/router/said_test.go
@@ -13,7 +13,7 @@
 
 // registers tells a host that a backend server registers, as the store's next change.
 func registers(r *Router, at time.Duration, ch routing.BackendChange) {
-	r.Reduce(at, News{FromStore: true, After: rev(ch.Revision.Number - 1), AsOf: ch.Revision, Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
+	r.Reduce(at, Update{FromStore: true, After: rev(ch.Revision.Number - 1), AsOf: ch.Revision, Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
 }
 
 // submitted is what a request without digest meets at a host.
@@ -31,7 +31,7 @@
 		return ch
 	}
 	registers(r, time.Second, ready(60, 5))
-	r.Reduce(2*time.Second, Said{ID: "a", Start: 5, Leaving: true})
+	r.Reduce(2*time.Second, BackendAnnouncement{ID: "a", Start: 5, Leaving: true})
 	for revision := uint64(61); revision < 64; revision++ {
 		registers(r, 3*time.Second, ready(revision, 5))
 		_, refused := has[Refuse](submitted(r, revision, 4*time.Second))
@@ -39,7 +39,7 @@
 	}
 	registers(r, 5*time.Second, ready(70, 6))
 	dispatchOf(t, submitted(r, 70, 6*time.Second))
-	r.Reduce(7*time.Second, Said{ID: "a", Start: 5, Leaving: true})
+	r.Reduce(7*time.Second, BackendAnnouncement{ID: "a", Start: 5, Leaving: true})
 	dispatchOf(t, submitted(r, 71, 8*time.Second))
 }
 
@@ -47,8 +47,8 @@
 // the server had said that it leaves.
 func TestLeavingIsNotInDoubt(t *testing.T) {
 	r := lone(t, "a")
-	r.Reduce(2*time.Second, Said{ID: "a", Leaving: true})
-	r.Reduce(3*time.Second, StoreContact{})
+	r.Reduce(2*time.Second, BackendAnnouncement{ID: "a", Leaving: true})
+	r.Reduce(3*time.Second, StoreStatus{})
 	ch := changeOf("a", 60, true)
 	registers(r, 4*time.Second, ch)
 	_, refused := has[Refuse](submitted(r, 1, 4*time.Second))
@@ -63,7 +63,7 @@
 		t.Run(fmt.Sprintf("%d zones of %d", c.zones, c.hosts), func(t *testing.T) {
 			z := newZones(t, c.zones, c.hosts, 4)
 			z.lost = func(_, _ string, _ *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
-			z.post(z.hosts[len(z.hosts)-1], Said{ID: "e001", Leaving: true})
+			z.post(z.hosts[len(z.hosts)-1], BackendAnnouncement{ID: "e001", Leaving: true})
 			z.run(1500*time.Millisecond, 0)
 			for _, h := range z.hosts {
 				require.True(t, h.r.backends["e001"].leaving, h.ip)
@@ -80,17 +80,17 @@
 // The owner of an engine offers a place there; the asker has just heard from the engine itself that it leaves, or wants nothing
 // for a time. The place goes back, and nothing is sent.
 func TestOfferOfALeavingEngineIsGivenBack(t *testing.T) {
-	for name, said := range map[string]Said{"leaving": {Leaving: true}, "away": {Away: time.Minute}} {
+	for name, said := range map[string]BackendAnnouncement{"leaving": {Leaving: true}, "away": {HoldOff: time.Minute}} {
 		t.Run(name, func(t *testing.T) {
 			z := newZone(t, 20, 23)
 			asker := z.hosts[0]
 			question, owner := z.question(asker)
-			offers := offersOf(z.byIP[owner].r.Reduce(z.now, Asked{asker.ip, question}))
+			offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 			place := offers[0].Place
 			require.NotNil(t, place)
 			said.ID = asker.r.byHash[place.Backend].ID
 			asker.r.Reduce(z.now, said)
-			out := asker.r.Reduce(z.now, Offered{owner, offers[0]})
+			out := asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 			require.True(t, givesBack(out, place.Backend))
 			if d, ok := has[Dispatch](out); ok {
 				require.NotEqual(t, said.ID, d.Backend.ID)
@@ -106,19 +106,19 @@
 	r := lone(t, "a")
 	at := 2 * time.Second
 	dispatchOf(t, submitted(r, 1, at))
-	r.Reduce(at, Said{ID: "a", Away: 2 * time.Second})
-	r.Reduce(at, Said{ID: "a", Away: time.Millisecond}) // of a request that was turned away before
-	out := r.Reduce(at, Ended{ID: 1, Outcome: Rejected})
+	r.Reduce(at, BackendAnnouncement{ID: "a", HoldOff: 2 * time.Second})
+	r.Reduce(at, BackendAnnouncement{ID: "a", HoldOff: time.Millisecond}) // of a request that was turned away before
+	out := r.Reduce(at, DispatchEnded{ID: 1, Outcome: Rejected})
 	refuse, ok := has[Refuse](out)
 	require.True(t, ok)
-	require.GreaterOrEqual(t, refuse.After, 2*time.Second)
+	require.GreaterOrEqual(t, refuse.RetryAfter, 2*time.Second)
 	_, refused := has[Refuse](submitted(r, 2, at+2*time.Second-1))
 	require.True(t, refused)
 	later := at + 2*time.Second + awaySpreadMost
 	dispatchOf(t, submitted(r, 3, later))
-	r.Reduce(later, Ended{ID: 3, Outcome: Answered, First: time.Millisecond})
+	r.Reduce(later, DispatchEnded{ID: 3, Outcome: Answered, First: time.Millisecond})
 	require.False(t, r.backends["a"].onProbation())
-	r.Reduce(later, Said{ID: "a", Away: 1000 * time.Hour})
+	r.Reduce(later, BackendAnnouncement{ID: "a", HoldOff: 1000 * time.Hour})
 	require.LessOrEqual(t, r.backends["a"].awayUntil, later+awayMost+awaySpreadMost)
 }
 
@@ -127,7 +127,7 @@
 	z := newZones(t, 3, 3, 1)
 	moments := map[time.Duration]bool{}
 	for _, h := range z.hosts {
-		h.r.Reduce(z.now, Said{ID: "e000", Away: 4 * time.Second})
+		h.r.Reduce(z.now, BackendAnnouncement{ID: "e000", HoldOff: 4 * time.Second})
 		moments[h.r.backends["e000"].awayUntil.Round(50*time.Millisecond)] = true
 	}
 	require.Greater(t, len(moments), 4)
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -36,7 +36,7 @@
 }
 
 // began takes the first event of a stream: its prompt is read.
-func (r *Router) began(e Began) {
+func (r *Router) began(e StreamStarted) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil || q.unread == 0 {
 		return
@@ -59,7 +59,7 @@
 
 // paced takes the speed of a stream's first events, so that a slow engine is known before the first
 // stream there has ended.
-func (r *Router) paced(e Paced) {
+func (r *Router) paced(e StreamProgress) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil {
 		return
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -40,7 +40,7 @@
 	require.Equal(t, "e1", b.prompt(600), "behind 24,000 tokens even a short prompt begins later")
 	require.Equal(t, "e0", b.prompt(6000), "a long one would begin later still at the slow engine")
 	for id := uint64(1); id <= 4; id++ {
-		b.post(Began{ID: id, First: 60 * time.Millisecond})
+		b.post(StreamStarted{ID: id, First: 60 * time.Millisecond})
 	}
 	require.Less(t, b.r.backends["e0"].unread(b.now), 7000, "what has begun is read")
 }
@@ -51,7 +51,7 @@
 	b := speedy(t)
 	for i := 0; i < 5; i++ {
 		require.Equal(t, "e0", b.prompt(700))
-		b.post(Began{ID: b.next, First: 10 * time.Millisecond})
+		b.post(StreamStarted{ID: b.next, First: 10 * time.Millisecond})
 	}
 	// unknownEvents x 11 ms / 5 slots are 66 ms; the slow engine makes its first event after 90 ms.
 	require.Equal(t, "e0", b.prompt(700))
@@ -64,18 +64,18 @@
 func TestFirstEventsTeachTheSpeed(t *testing.T) {
 	b := newBench(t, 2)
 	require.Equal(t, "e0", b.prompt(1000))
-	b.post(Began{ID: 1, First: 60 * time.Millisecond})
-	b.post(Paced{ID: 1, Interval: 55 * time.Millisecond})
+	b.post(StreamStarted{ID: 1, First: 60 * time.Millisecond})
+	b.post(StreamProgress{ID: 1, Interval: 55 * time.Millisecond})
 	e0 := b.r.backends["e0"]
 	require.Equal(t, 60*time.Microsecond, e0.read)
 	require.Equal(t, 55*time.Millisecond, e0.interval)
 	require.Equal(t, "e1", b.prompt(1000))
 
 	// Behind others' prompts the first event tells nothing.
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: e0.hash, InFlight: counts{1}.pack(), Unread: 2000}, {Backend: b.r.backends["e1"].hash, Unread: 9000}}}})
 	require.Equal(t, "e0", b.prompt(1000))
-	b.post(Began{ID: b.next, First: 800 * time.Millisecond})
+	b.post(StreamStarted{ID: b.next, First: 800 * time.Millisecond})
 	require.Equal(t, 60*time.Microsecond, e0.read)
 }
 
@@ -84,14 +84,14 @@
 func TestSpeedsAreTold(t *testing.T) {
 	b := newBench(t, 2)
 	b.prompt(1000)
-	b.post(Began{ID: 1, First: 60 * time.Millisecond})
-	b.post(Paced{ID: 1, Interval: 55 * time.Millisecond})
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
+	b.post(StreamStarted{ID: 1, First: 60 * time.Millisecond})
+	b.post(StreamProgress{ID: 1, Interval: 55 * time.Millisecond})
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	speeds := func() []*gossippb.Speed {
 		b.now += beatMost
 		var out []*gossippb.Speed
 		for _, e := range b.post(Tick{}) {
-			if s, ok := e.(SendBeat); ok {
+			if s, ok := e.(SendHeartbeat); ok {
 				out = append(out, s.Beat.Speeds...)
 			}
 		}
@@ -102,12 +102,12 @@
 	require.Empty(t, speeds(), "not again")
 
 	other := newBench(t, 2)
-	other.post(Heard{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1, Speeds: told}})
+	other.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1, Speeds: told}})
 	require.Equal(t, 55*time.Millisecond, other.r.backends["e0"].interval)
 	require.Equal(t, 60*time.Microsecond, other.r.backends["e0"].read)
 	other.r.backends["e0"].learnPace(11 * time.Millisecond)
 	kept := other.r.backends["e0"].interval
-	other.post(Heard{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 2, Speeds: told}})
+	other.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 2, Speeds: told}})
 	require.Equal(t, kept, other.r.backends["e0"].interval)
 }
 
@@ -115,7 +115,7 @@
 // them.
 func TestOthersUnreadPromptsCount(t *testing.T) {
 	b := speedy(t)
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: b.r.backends["e0"].hash, InFlight: counts{1}.pack(), Unread: 20_000}}}})
 	require.Equal(t, "e1", b.prompt(1000))
 	b.now += 200 * time.Millisecond
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -58,7 +58,7 @@
 // beatsTo collects the hosts that beats go to.
 func beatsTo(list []Effect) []string {
 	var out []string
-	for _, b := range effectsOf[SendBeat](list) {
+	for _, b := range effectsOf[SendHeartbeat](list) {
 		out = append(out, b.To...)
 	}
 	return out
@@ -69,21 +69,21 @@
 // would be refused up to a tenth of a second longer.
 func TestNewcomerHearsAtOnce(t *testing.T) {
 	b := newBench(t, 1)
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	b.now += changeGap + time.Millisecond
 	b.post(Tick{})
 	b.now += changeGap
-	require.Contains(t, beatsTo(b.post(Heard{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1}})), "10.0.0.3")
+	require.Contains(t, beatsTo(b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1}})), "10.0.0.3")
 }
 
 // The first of the starting hosts has read the configuration. The others, which wait for it, hear so at
 // once.
 func TestFirstConfigurationIsToldAtOnce(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1, Seeds: []string{"10.0.0.1"}})
-	r.Reduce(0, Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
+	r.Reduce(0, HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	r.Reduce(0, Tick{})
 	now := changeGap + 5*time.Millisecond
-	n := News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
+	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
 	require.Contains(t, beatsTo(r.Reduce(now, n)), "10.0.0.2")
 }
 
@@ -91,12 +91,12 @@
 // took callers before it knew how many others there are let through its part of a few, and the fleet more
 // than the operators' bound. It waits until it has heard the others.
 func TestStartInALargeFleetWaitsForTheOthers(t *testing.T) {
-	inForce := func(list []Effect) bool { return len(effectsOf[InForce](list)) > 0 }
+	inForce := func(list []Effect) bool { return len(effectsOf[ConfigActivated](list)) > 0 }
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
 	for i := 0; i <= fullMesh; i++ {
 		r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
-	n := News{Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
+	n := Update{Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
 	require.False(t, inForce(r.Reduce(20*time.Millisecond, n)))
 	require.False(t, r.Ready())
 	require.False(t, inForce(r.Reduce(startWait-time.Millisecond, Tick{})))
@@ -112,13 +112,13 @@
 func TestUnheardZonesCountWhileStarting(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
 	for i := 2; i <= 10; i++ {
-		r.Reduce(time.Millisecond, Heard{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: 1}})
+		r.Reduce(time.Millisecond, HeartbeatReceived{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: 1}})
 	}
 	for i := 0; i <= fullMesh; i++ {
 		r.meet(fmt.Sprintf("10.0.%d.1", 1+i), fmt.Sprintf("z%d", 1+i%3))
 	}
 	require.Equal(t, 4*10, r.hosts())
-	r.Reduce(2*time.Millisecond, Heard{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1,
+	r.Reduce(2*time.Millisecond, HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1,
 		Zones: []*gossippb.ZoneSum{{Zone: "z1", Speaker: "10.0.1.1", Incarnation: 1, Seq: 1, Hosts: 30}}}})
 	require.Equal(t, 10+30+2*10, r.hosts())
 	r.now = unheardFor
@@ -128,7 +128,7 @@
 // startingFleet is a fleet of some zones whose hosts all start together and read a store that answers a listing after a while.
 type startingFleet struct {
 	*zone
-	news     News
+	news     Update
 	listTime time.Duration
 	// refuses are the hosts that the store refuses.
 	refuses map[string]bool
@@ -147,7 +147,7 @@
 func startFleet(t testing.TB, zones, hosts int) *startingFleet {
 	f := &startingFleet{zone: &zone{t: t, rng: rand.New(rand.NewPCG(1, 2)), byIP: map[string]*zoneHost{}, held: map[string]int{}, runs: map[uint64]*zoneRun{}},
 		listTime: 300 * time.Millisecond, reading: map[string]bool{}, refuses: map[string]bool{},
-		news: News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}}
+		news: Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}}
 	for i := range zones * hosts {
 		h := &zoneHost{ip: fmt.Sprintf("10.0.%d.%d", i/hosts, i%hosts+1), zone: fmt.Sprintf("z%d", i/hosts), born: time.Duration(f.rng.Int64N(int64(300 * time.Millisecond)))}
 		h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: uint64(i + 1), Seed: uint64(i), Seeds: []string{"10.0.0.1", "10.0.1.2"}})
@@ -177,7 +177,7 @@
 	f.listings++
 	f.due = append(f.due, startingEvent{f.now + f.listTime, h, func() Event {
 		if f.refuses[h.ip] {
-			return StoreContact{}
+			return StoreStatus{}
 		}
 		return f.news
 	}})
@@ -194,12 +194,12 @@
 				continue
 			}
 			ev := e.ev()
-			_, pulled := ev.(News)
-			if pulled && ev.(News).FromStore && !f.reading[e.host.ip] {
+			_, pulled := ev.(Update)
+			if pulled && ev.(Update).FromStore && !f.reading[e.host.ip] {
 				continue // the reading was stopped meanwhile
 			}
 			f.post(e.host, ev)
-			if !f.reading[e.host.ip] || (pulled && !ev.(News).FromStore) {
+			if !f.reading[e.host.ip] || (pulled && !ev.(Update).FromStore) {
 				continue
 			}
 			again := startingEvent{f.now + time.Second, e.host, e.ev}
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -45,7 +45,7 @@
 
 // learnOfRequest takes what the end of a dispatch says of the request itself. The same request in the hands of one backend
 // server after another that ends is most likely what ends them, and its callers repeat it at any host.
-func (r *Router) learnOfRequest(b *backend, q *request, e Ended) {
+func (r *Router) learnOfRequest(b *backend, q *request, e DispatchEnded) {
 	if !e.Digest.Zero() {
 		q.Digest = e.Digest
 	}
@@ -64,7 +64,7 @@
 
 // hold remembers a request until it shows whether its backend server has ended. One that was leaving ends by itself: what was
 // still in flight there is innocent.
-func (r *Router) hold(b *backend, q *request, e Ended) {
+func (r *Router) hold(b *backend, q *request, e DispatchEnded) {
 	q.onTrial = false
 	run := brokenRun{q.Digest, workspaceName(q), r.now}
 	if b.ended {
@@ -79,7 +79,7 @@
 	}
 	if e.Outcome == Broken && r.now >= b.checkedUntil {
 		b.checkedUntil = r.now + confirmFor
-		r.emit(Check{Backend: b.Backend, Keep: r.keep(b)})
+		r.emit(Probe{Backend: b.Backend, Keep: r.keep(b)})
 	}
 }
 
@@ -91,7 +91,7 @@
 }
 
 // checked takes whether a backend server whose answer broke can still be reached.
-func (r *Router) checked(e Checked) {
+func (r *Router) checked(e ProbeResult) {
 	b, ok := r.backends[e.ID]
 	if !ok || b.Start != e.Start {
 		return
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -59,7 +59,7 @@
 			break
 		}
 		run.engine = ""
-		z.post(h, Ended{ID: id, Outcome: NotSent, Fault: true})
+		z.post(h, DispatchEnded{ID: id, Outcome: NotSent, Fault: true})
 	}
 	engine := z.runs[id].engine
 	require.NotEmpty(z.t, engine)
@@ -72,8 +72,8 @@
 	if o.ends++; o.ends == 3 {
 		o.thirdAt = z.now
 	}
-	z.post(h, Ended{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
-	z.post(h, Checked{ID: engine, Refused: true})
+	z.post(h, DispatchEnded{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
+	z.post(h, ProbeResult{ID: engine, Refused: true})
 }
 
 // fragile is a route whose requests run once.
@@ -157,7 +157,7 @@
 	h := z.hosts[4]
 	require.NotNil(t, h.r.suspects.ledger.Blamed(popular), "until a run ends well")
 	q := &request{Submit: Submit{Digest: popular}}
-	h.r.learnOfRequest(h.r.backends["e002"], q, Ended{Outcome: Answered, Success: true})
+	h.r.learnOfRequest(h.r.backends["e002"], q, DispatchEnded{Outcome: Answered, Success: true})
 	z.run(knownWithin, 0)
 	for _, h := range z.hosts {
 		require.Nil(t, h.r.suspects.ledger.Blamed(popular), h.ip)
@@ -167,7 +167,7 @@
 // lone is a host that knows some engines and no other host.
 func lone(t *testing.T, engines ...string) *Router {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Bounds: Bounds{RetryRatio: 0.2, RetryWindow: time.Second, RetryExtra: 100}})
-	n := News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1, Services: []routing.Service{{Name: "m", Model: true}}}}}
+	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1, Services: []routing.Service{{Name: "m", Model: true}}}}}
 	for _, id := range engines {
 		ch := changeOf(id, 10, false)
 		ch.Slots, ch.Zone = 4, "z0"
@@ -199,7 +199,7 @@
 // breaks sends a request with a digest and lets its answer break; it returns the engine and what follows.
 func breaks(t *testing.T, r *Router, id uint64, at time.Duration, route *routing.Route) (engine string, out []Effect) {
 	d := dispatchOf(t, r.Reduce(at, Submit{ID: id, Route: route, Digest: deadly, Deadline: at + time.Minute}))
-	return d.Backend.ID, r.Reduce(at, Ended{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
+	return d.Backend.ID, r.Reduce(at, DispatchEnded{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
 }
 
 // A connection breaks, as after a reset on the way, and the engine lives: that says nothing of the request, also where the
@@ -210,35 +210,35 @@
 		then func(r *Router, engine string)
 		want bool
 	}{
-		"lives":   {func(r *Router, id string) { r.Reduce(2*time.Second, Checked{ID: id, Reached: true}) }, false},
-		"is dark": {func(r *Router, id string) { r.Reduce(2*time.Second, Checked{ID: id}) }, false},
+		"lives":   {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id, Reached: true}) }, false},
+		"is dark": {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id}) }, false},
 		"is reached, and its registration goes later": {func(r *Router, id string) {
-			r.Reduce(2*time.Second, Checked{ID: id, Reached: true})
-			r.Reduce(5*time.Second, News{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
+			r.Reduce(2*time.Second, ProbeResult{ID: id, Reached: true})
+			r.Reduce(5*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, false},
 		"is dark, and its registration goes later": {func(r *Router, id string) {
-			r.Reduce(2*time.Second, Checked{ID: id})
-			r.Reduce(5*time.Second, News{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
+			r.Reduce(2*time.Second, ProbeResult{ID: id})
+			r.Reduce(5*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, true},
 		"unknown":                  {func(*Router, string) {}, false},
-		"refuses connection":       {func(r *Router, id string) { r.Reduce(2*time.Second, Checked{ID: id, Refused: true}) }, true},
-		"refused by another start": {func(r *Router, id string) { r.Reduce(2*time.Second, Checked{ID: id, Start: 7, Refused: true}) }, false},
+		"refuses connection":       {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id, Refused: true}) }, true},
+		"refused by another start": {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id, Start: 7, Refused: true}) }, false},
 		"registration goes": {func(r *Router, id string) {
-			r.Reduce(5*time.Second, News{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
+			r.Reduce(5*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, true},
 		"registration goes long after": {func(r *Router, id string) {
-			r.Reduce(2*time.Second+confirmFor+1, News{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
+			r.Reduce(2*time.Second+confirmFor+1, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, false},
 		"starts again": {func(r *Router, id string) {
 			ch := changeOf(id, 60, false)
 			ch.Start = 5
-			r.Reduce(3*time.Second, News{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
+			r.Reduce(3*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := lone(t, "a")
 			engine, out := breaks(t, r, 1, 2*time.Second, fragile)
-			check, ok := has[Check](out)
+			check, ok := has[Probe](out)
 			require.True(t, ok)
 			require.Equal(t, engine, check.Backend.ID)
 			c.then(r, engine)
@@ -263,11 +263,11 @@
 	d := dispatchOf(t, r.Reduce(2*time.Second, Submit{ID: 1, Route: fragile, Deadline: time.Minute}))
 	ch := changeOf("a", 60, false)
 	ch.Draining = true
-	r.Reduce(3*time.Second, News{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
-	out := r.Reduce(4*time.Second, Ended{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
-	_, asked := has[Check](out)
+	r.Reduce(3*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
+	out := r.Reduce(4*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
+	_, asked := has[Probe](out)
 	require.False(t, asked)
-	r.Reduce(4*time.Second, Checked{ID: d.Backend.ID, Refused: true})
+	r.Reduce(4*time.Second, ProbeResult{ID: d.Backend.ID, Refused: true})
 	require.False(t, r.Suspects())
 }
 
@@ -280,12 +280,12 @@
 	at := 2 * time.Second
 	d := dispatchOf(t, r.Reduce(at, Submit{ID: 1, Route: resumable, Deadline: at + time.Minute}))
 	for range 2 {
-		out := r.Reduce(at, Ended{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
-		r.Reduce(at, Checked{ID: d.Backend.ID, Refused: true})
+		out := r.Reduce(at, DispatchEnded{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
+		r.Reduce(at, ProbeResult{ID: d.Backend.ID, Refused: true})
 		d = dispatchOf(t, out)
 	}
 	r.sawEnd(r.backends[d.Backend.ID], brokenRun{deadly, "", at}) // a beside one, from another host
-	out := r.Reduce(at, Ended{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
+	out := r.Reduce(at, DispatchEnded{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
 	give, ok := has[GiveUp](out)
 	require.True(t, ok)
 	require.Equal(t, Quarantined, give.Cause)
@@ -293,7 +293,7 @@
 	refuse, ok := has[Refuse](out)
 	require.True(t, ok)
 	require.Equal(t, Quarantined, refuse.Cause)
-	require.Positive(t, refuse.After)
+	require.Positive(t, refuse.RetryAfter)
 	require.Zero(t, r.Requests())
 }
 
@@ -327,13 +327,13 @@
 		id--
 	}
 	engine := z.runs[id].engine
-	z.post(tried[0], Ended{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
-	z.post(tried[0], Checked{ID: engine, Refused: true})
+	z.post(tried[0], DispatchEnded{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
+	z.post(tried[0], ProbeResult{ID: engine, Refused: true})
 	z.run(knownWithin+trialFor, 0)
 	for _, h := range z.hosts {
 		out := h.r.Reduce(z.now, Submit{ID: 1 << 40, Route: fragile, Digest: deadly, Deadline: z.now + time.Minute})
 		refuse, ok := has[Refuse](out)
 		require.True(t, ok)
-		require.Greater(t, refuse.After, 5*time.Minute, "longer each time")
+		require.Greater(t, refuse.RetryAfter, 5*time.Minute, "longer each time")
 	}
 }
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -128,7 +128,7 @@
 	to     string
 	from   string
 	packet []byte
-	news   *News
+	news   *Update
 }
 
 func newWorld(t *rapid.T, zones, perZone int) *world {
@@ -216,7 +216,7 @@
 
 func (w *world) effect(h *worldHost, e Effect) {
 	switch e := e.(type) {
-	case SendBeat:
+	case SendHeartbeat:
 		w.mailTo(h, e.To, &gossippb.Packet{Beat: e.Beat})
 	case Send:
 		w.mailTo(h, e.To, e.Packet)
@@ -264,21 +264,21 @@
 func eventOf(from string, p *gossippb.Packet) Event {
 	switch {
 	case p.Ask != nil:
-		return Asked{from, p.Ask}
+		return SlotRequestReceived{from, p.Ask}
 	case p.Offer != nil:
-		return Offered{from, p.Offer}
+		return SlotOfferReceived{from, p.Offer}
 	case p.Report != nil:
-		return Reported{from, p.Report}
+		return ReportReceived{from, p.Report}
 	case p.Occupancy != nil:
-		return Occupied{from, p.Occupancy}
+		return OccupancyReceived{from, p.Occupancy}
 	case p.Relay != nil:
-		return Relayed{from, p.Relay}
+		return RelayReceived{from, p.Relay}
 	case p.Charge != nil:
-		return ChargeAsked{from, p.Charge}
+		return ChargeRequestReceived{from, p.Charge}
 	case p.Charged != nil:
-		return ChargeAnswered{from, p.Charged}
+		return ChargeResponseReceived{from, p.Charged}
 	default:
-		return Heard{p.Beat}
+		return HeartbeatReceived{p.Beat}
 	}
 }
 
@@ -347,7 +347,7 @@
 	}
 	if rapid.IntRange(0, 29).Draw(w.t, "says that it leaves") == 0 {
 		c.host.told[c.current] = true
-		w.post(c.host, Said{ID: c.current, Leaving: true})
+		w.post(c.host, BackendAnnouncement{ID: c.current, Leaving: true})
 	}
 	o := rapid.SampledFrom([]Outcome{Answered, Answered, Answered, Failed, NotSent, Rejected, WrongInstance, Broken, TimedOut, Canceled}).Draw(w.t, "outcome")
 	c.current = ""
@@ -357,7 +357,7 @@
 	case Answered, Canceled:
 		c.finished = true
 	}
-	w.post(c.host, Ended{ID: c.id, Outcome: o, Fault: true, First: time.Millisecond, Interval: time.Millisecond})
+	w.post(c.host, DispatchEnded{ID: c.id, Outcome: o, Fault: true, First: time.Millisecond, Interval: time.Millisecond})
 }
 
 // step lets a little time pass: mail arrives, the store is read, hosts tick.
@@ -403,10 +403,10 @@
 	}
 	if w.storeOff || h.refused {
 		h.listed = false
-		w.post(h, StoreContact{})
+		w.post(h, StoreStatus{})
 		return
 	}
-	n := News{AsOf: w.rev(), FromStore: true, Full: !h.listed}
+	n := Update{AsOf: w.rev(), FromStore: true, Full: !h.listed}
 	n.Config = w.config
 	for _, id := range w.backendIDs() {
 		ch := w.backends[id]
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -93,7 +93,7 @@
 // newZones starts several zones; the seeds are in the first.
 func newZones(t testing.TB, zones, hosts, engines int) *zone {
 	z := &zone{t: t, rng: rand.New(rand.NewPCG(1, 2)), byIP: map[string]*zoneHost{}, held: map[string]int{}, runs: map[uint64]*zoneRun{}}
-	n := News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
+	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
 		Services: []routing.Service{{Name: "m", Model: true, TokensPerEvent: 8}}}}}
 	for i := range zones * engines {
 		ch := changeOf(fmt.Sprintf("e%03d", i), 10, false)
@@ -138,7 +138,7 @@
 
 func (z *zone) effect(h *zoneHost, e Effect) {
 	switch e := e.(type) {
-	case SendBeat:
+	case SendHeartbeat:
 		z.send(h, e.To, &gossippb.Packet{Beat: e.Beat})
 	case Send:
 		z.send(h, e.To, e.Packet)
@@ -215,7 +215,7 @@
 		z.deliver()
 		z.finish()
 		for _, e := range z.ended {
-			z.post(e.host, Gone{ID: e.id})
+			z.post(e.host, CallerLeft{ID: e.id})
 		}
 		z.ended = nil
 		for left := perSecond; left > 0; left -= 1000 {
@@ -259,7 +259,7 @@
 		if run.breaks {
 			z.broken[run.engine]++
 			run.engine = ""
-			z.post(run.host, Ended{ID: id, Outcome: Broken, Fault: true})
+			z.post(run.host, DispatchEnded{ID: id, Outcome: Broken, Fault: true})
 			continue
 		}
 		delete(z.runs, id)
@@ -267,8 +267,8 @@
 		if slowEngine(run.engine) {
 			interval *= 4
 		}
-		z.post(run.host, Began{ID: id, First: 20 * time.Millisecond})
-		z.post(run.host, Ended{ID: id, Outcome: Answered, First: 20 * time.Millisecond, Interval: interval, Events: 20})
+		z.post(run.host, StreamStarted{ID: id, First: 20 * time.Millisecond})
+		z.post(run.host, DispatchEnded{ID: id, Outcome: Answered, First: 20 * time.Millisecond, Interval: interval, Events: 20})
 	}
 }
 
@@ -366,11 +366,11 @@
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
 	question, owner := z.question(asker)
-	offers := offersOf(z.byIP[owner].r.Reduce(z.now, Asked{asker.ip, question}))
+	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 	require.NotNil(t, offers[0].Place)
 	asker.r.Reduce(z.now+askPatience, Tick{})
 	require.Positive(t, asker.r.Requests(), "placed by the asker itself")
-	out := asker.r.Reduce(z.now+2*askPatience, Offered{owner, offers[0]})
+	out := asker.r.Reduce(z.now+2*askPatience, SlotOfferReceived{owner, offers[0]})
 	require.True(t, givesBack(out, offers[0].Place.Backend))
 }
 
@@ -457,20 +457,20 @@
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
 	question, owner := z.question(asker)
-	offers := offersOf(z.byIP[owner].r.Reduce(z.now, Asked{asker.ip, question}))
-	asker.r.Reduce(z.now, Offered{owner, offers[0]})
+	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
+	asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 	b := z.byIP[owner].r.byHash[offers[0].Place.Backend]
 	require.Equal(t, 1, b.inFlight())
 	require.Equal(t, 1000, b.others.unread)
 	pass := func(list []Effect) {
 		for _, rep := range reportsOf(list) {
-			z.byIP[owner].r.Reduce(z.now, Reported{asker.ip, rep})
+			z.byIP[owner].r.Reduce(z.now, ReportReceived{asker.ip, rep})
 		}
 	}
-	pass(asker.r.Reduce(z.now, Began{ID: z.next, First: 20 * time.Millisecond}))
+	pass(asker.r.Reduce(z.now, StreamStarted{ID: z.next, First: 20 * time.Millisecond}))
 	require.Zero(t, b.others.unread)
 	require.Equal(t, 20*time.Microsecond, b.read)
-	pass(asker.r.Reduce(z.now, Ended{ID: z.next, Outcome: Answered, Interval: 12 * time.Millisecond, Events: 20}))
+	pass(asker.r.Reduce(z.now, DispatchEnded{ID: z.next, Outcome: Answered, Interval: 12 * time.Millisecond, Events: 20}))
 	require.Zero(t, b.inFlight())
 	require.Equal(t, 12*time.Millisecond, b.interval)
 }
@@ -503,7 +503,7 @@
 	z := newZone(t, 20, 23)
 	owner := z.byIP[z.owners()[0]]
 	ask := func(from string) string {
-		offers := offersOf(owner.r.Reduce(z.now, Asked{from, &gossippb.Ask{Number: 1, Service: "m", Streaming: true, Prompt: 100, LeftMs: 9000, TargetMs: 800, WorstClass: uint32(good)}}))
+		offers := offersOf(owner.r.Reduce(z.now, SlotRequestReceived{from, &gossippb.Ask{Number: 1, Service: "m", Streaming: true, Prompt: 100, LeftMs: 9000, TargetMs: 800, WorstClass: uint32(good)}}))
 		require.Len(t, offers, 1)
 		require.NotNil(t, offers[0].Place)
 		return owner.r.byHash[offers[0].Place.Backend].ID
@@ -511,9 +511,9 @@
 	first := ask("10.0.0.3")
 	broken := owner.r.backends[first]
 	word := &gossippb.Report{Backend: broken.hash, Requests: -1, Unread: -100, Outcome: gossippb.Outcome_OUTCOME_UNREACHABLE}
-	owner.r.Reduce(z.now, Reported{"10.0.0.3", word})
+	owner.r.Reduce(z.now, ReportReceived{"10.0.0.3", word})
 	require.False(t, broken.dead(z.now))
-	owner.r.Reduce(z.now, Reported{"10.0.0.4", word})
+	owner.r.Reduce(z.now, ReportReceived{"10.0.0.4", word})
 	require.True(t, broken.dead(z.now))
 	for range 30 {
 		require.NotEqual(t, first, ask("10.0.0.5"))
@@ -526,12 +526,12 @@
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
 	question, owner := z.question(asker)
-	offers := offersOf(z.byIP[owner].r.Reduce(z.now, Asked{asker.ip, question}))
+	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 	offered := asker.r.byHash[offers[0].Place.Backend]
 	ch := changeOf(offered.ID, 60, false)
 	ch.Draining = true
-	asker.r.Reduce(z.now, News{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
-	out := asker.r.Reduce(z.now, Offered{owner, offers[0]})
+	asker.r.Reduce(z.now, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
+	out := asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 	for _, d := range effectsOf[Dispatch](out) {
 		require.NotEqual(t, offered.ID, d.Backend.ID)
 	}
@@ -551,7 +551,7 @@
 		}
 	}
 	var beat *gossippb.Beat
-	for _, s := range effectsOf[SendBeat](mate.r.Reduce(z.now+sharedMost, Tick{})) {
+	for _, s := range effectsOf[SendHeartbeat](mate.r.Reduce(z.now+sharedMost, Tick{})) {
 		beat = s.Beat
 	}
 	run := func(name string, f func(i int)) {
@@ -562,12 +562,12 @@
 			}
 		})
 	}
-	run("beat heard", func(int) { beat.Seq++; owner.r.Reduce(z.now, Heard{beat}) })
+	run("beat heard", func(int) { beat.Seq++; owner.r.Reduce(z.now, HeartbeatReceived{beat}) })
 	ask := &gossippb.Ask{Number: 1, Service: "m", Streaming: true, Prompt: 100, LeftMs: 9000, TargetMs: 800, WorstClass: uint32(good)}
 	run("ask and report", func(int) {
-		offers := offersOf(owner.r.Reduce(z.now, Asked{mate.ip, ask}))
+		offers := offersOf(owner.r.Reduce(z.now, SlotRequestReceived{mate.ip, ask}))
 		if p := offers[0].Place; p != nil {
-			owner.r.Reduce(z.now, Reported{mate.ip, &gossippb.Report{Backend: p.Backend, Requests: -1, Unread: -100}})
+			owner.r.Reduce(z.now, ReportReceived{mate.ip, &gossippb.Report{Backend: p.Backend, Requests: -1, Unread: -100}})
 		}
 	})
 	now := z.now
@@ -581,7 +581,7 @@
 	for i, b := range h.allBackends() {
 		later, earlier := changeOf(b.ID, uint64(90+i), false), changeOf(b.ID, uint64(80+i), false)
 		earlier.Start, earlier.Zone, later.Zone = 7, b.Zone, b.Zone
-		z.post(z.hosts[0], News{FromStore: true, After: rev(50), AsOf: rev(uint64(90 + i)), Changes: routing.Changes{Backends: []routing.BackendChange{later, earlier}}})
+		z.post(z.hosts[0], Update{FromStore: true, After: rev(50), AsOf: rev(uint64(90 + i)), Changes: routing.Changes{Backends: []routing.BackendChange{later, earlier}}})
 	}
 	named := 0
 	for _, b := range h.allBackends() {
