--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -125,13 +125,13 @@
 func (f *flight) logDispatch(d router.Dispatch) {
 	f.g.metrics.Count("requests.dispatched", 1)
 	f.g.trails.add(f.call.AttemptID, d.At, "sent to %s (attempt %d): %d in flight of at most %d, beliefs %s old, configuration %d",
-		d.Backend.ID, d.Attempt, d.Grounds.InFlight, d.Grounds.Limit, d.Grounds.ViewAge, d.Grounds.Version)
+		d.Backend.ID, d.Attempt, d.Basis.InFlight, d.Basis.Limit, d.Basis.ViewAge, d.Basis.Version)
 	if d.Attempt > 1 {
 		f.g.metrics.Count("requests.sent_again", 1)
 	}
 	f.g.log.Info().Str("id", f.call.AttemptID).Str("route", f.route.Name).Str("backend", d.Backend.ID).Int("attempt", d.Attempt).
-		Int("in_flight", d.Grounds.InFlight).Int("limit", d.Grounds.Limit).Int64("belief_age_ms", d.Grounds.ViewAge.Milliseconds()).
-		Int64("expect_ms", d.Grounds.Wait.Milliseconds()).Uint64("config", d.Grounds.Version).Uint64("era", d.Grounds.Era).Str("owner", d.Grounds.Owner).Msg("Sent.")
+		Int("in_flight", d.Basis.InFlight).Int("limit", d.Basis.Limit).Int64("belief_age_ms", d.Basis.ViewAge.Milliseconds()).
+		Int64("expect_ms", d.Basis.Wait.Milliseconds()).Uint64("config", d.Basis.Version).Uint64("era", d.Basis.Era).Str("owner", d.Basis.Owner).Msg("Sent.")
 }
 
 // logRejected is the line of a backend server's word that it has not run the request.
--- a/internal/gateway/end_test.go
+++ b/internal/gateway/end_test.go
@@ -32,7 +32,7 @@
 	send := func() (*flight, router.DispatchEnded) {
 		f := &flight{g: g, w: httptest.NewRecorder(), r: httptest.NewRequest(http.MethodGet, "/x", nil), began: time.Now(),
 			route: &routing.Route{Name: "plain"}, allowed: time.Minute, deadline: time.Now().Add(time.Minute)}
-		return f, f.dispatch(router.Dispatch{Backend: routing.Backend{Addr: srv.Listener.Addr().String()}, Attempt: 1, Keep: 1})
+		return f, f.dispatch(router.Dispatch{Backend: routing.Backend{Addr: srv.Listener.Addr().String()}, Attempt: 1, MaxIdleConns: 1})
 	}
 	_, end := send() // leaves an idle connection
 	require.Equal(t, router.Answered, end.Outcome)
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -162,7 +162,7 @@
 		case router.Dispatch:
 			f.backend, f.attempts = e.Backend.ID, e.Attempt
 			if e.Attempt == 1 {
-				f.grounds = e.Grounds
+				f.grounds = e.Basis
 			}
 			f.logDispatch(e)
 			end := f.dispatch(e)
@@ -177,7 +177,7 @@
 				return
 			}
 		case router.Refuse:
-			f.grounds = e.Grounds
+			f.grounds = e.Basis
 			f.refuseFor(e)
 			return
 		case router.GiveUp:
@@ -335,7 +335,7 @@
 	if f.rest != nil {
 		req.Rest, req.Length = f.rest, f.r.ContentLength
 	}
-	req.Keep = d.Keep
+	req.Keep = d.MaxIdleConns
 	req.Permitted = func() bool { return f.permitted(d) }
 	req.Stall, _ = f.stall()
 	req.Stalled = f.stalled
--- a/internal/gateway/permission_test.go
+++ b/internal/gateway/permission_test.go
@@ -52,7 +52,7 @@
 		g := New(&paused{gap: c.gap}, silentWire{}, upstream.NewPool(func() {}), zerolog.Nop(), telemetry.NewMetrics())
 		f := &flight{g: g, w: httptest.NewRecorder(), r: httptest.NewRequest(http.MethodGet, "/x", nil), began: time.Now(),
 			route: &routing.Route{Name: "plain"}, allowed: time.Minute, deadline: time.Now().Add(time.Minute)}
-		end := f.dispatch(router.Dispatch{Backend: routing.Backend{Addr: srv.Listener.Addr().String()}, Attempt: 1, Keep: 1})
+		end := f.dispatch(router.Dispatch{Backend: routing.Backend{Addr: srv.Listener.Addr().String()}, Attempt: 1, MaxIdleConns: 1})
 		require.Equal(t, c.outcome, end.Outcome)
 		require.False(t, end.Fault, "nothing is wrong with the server")
 		require.Equal(t, c.calls, calls.Load())
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -130,7 +130,7 @@
 		c.toCaller(e.ID, e)
 		delete(c.callers, e.ID)
 	case router.SendHeartbeat:
-		c.out.send(e.To, &gossippb.Packet{Beat: e.Beat})
+		c.out.send(e.To, &gossippb.Packet{Beat: e.Heartbeat})
 	case router.Send:
 		c.out.send(e.To, e.Packet)
 	case router.ReadStore:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -139,7 +139,7 @@
 		drop: n.pool.Drop,
 		check: func(c router.Probe) {
 			go func() {
-				reached, refused := n.pool.Check(ctx, c.Backend.Addr, c.Keep)
+				reached, refused := n.pool.Check(ctx, c.Backend.Addr, c.MaxIdleConns)
 				n.control.Post(router.ProbeResult{ID: c.Backend.ID, Start: c.Backend.Start, Reached: reached, Refused: refused})
 			}()
 		},
--- a/internal/router/ask.go
+++ b/internal/router/ask.go
@@ -76,7 +76,7 @@
 		return false
 	}
 	m, ok := r.members.byHost[owner]
-	return !ok || !m.silent
+	return !ok || !m.unreachable
 }
 
 // hopefulOwner is an owner that may have a place although what is believed here says that there is none.
@@ -108,9 +108,9 @@
 }
 
 func (r *Router) ask(q *request, owner string, worst class) {
-	a := &ask{question{number: r.asks.next(), request: q.ID, owner: owner, at: r.now}, q.bucket(), q.PromptTok}
+	a := &ask{question{number: r.slotRequests.next(), request: q.ID, owner: owner, at: r.now}, q.bucket(), q.PromptTok}
 	q.asking = a
-	r.asks.add(a)
+	r.slotRequests.add(a)
 	r.introduce(owner)
 	r.emit(Send{To: []string{owner}, Packet: &gossippb.Packet{Ask: &gossippb.Ask{
 		Number: a.number, Service: q.service, Streaming: q.Route.Kind == routing.Streaming, Rank: float32(q.Rank),
@@ -168,7 +168,7 @@
 
 // expireAsks decides alone for requests whose question was not answered in time.
 func (r *Router) expireAsks() {
-	for _, a := range r.asks.overdue(r.now) {
+	for _, a := range r.slotRequests.overdue(r.now) {
 		r.unanswered(a)
 	}
 }
@@ -217,7 +217,7 @@
 
 // offered takes an owner's answer.
 func (r *Router) offered(from string, o *gossippb.Offer) {
-	a, ok := r.asks.take(from, o.Number)
+	a, ok := r.slotRequests.take(from, o.Number)
 	if !ok {
 		return
 	}
@@ -240,7 +240,7 @@
 		r.seek(q)
 		return
 	}
-	there := loadOf(o.Place)
+	there := loadFromProto(o.Place)
 	r.takeOwnersWord(b, there)
 	q.owner = from
 	g := r.grounds()
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -51,9 +51,9 @@
 	if r.sharing() {
 		perHost = joinPerHost
 	}
-	r.beatAt, r.tightAt = r.now+period, r.now+period/2
-	r.changeAt = r.now + max(changeGap, perHost*mates)
-	r.changed = false
+	r.heartbeatAt, r.quotaLowHeartbeatAt = r.now+period, r.now+period/2
+	r.earlyHeartbeatAt = r.now + max(changeGap, perHost*mates)
+	r.heartbeatPending = false
 	to := r.beatTargets()
 	if len(to) == 0 {
 		return
@@ -87,11 +87,11 @@
 
 // loadChanged lets a small fleet hear at once that this host carries something else than its last beat
 // said. In a large one the owners of backend servers hear of each request instead.
-func (r *Router) loadChanged() { r.changed = r.changed || !r.sharing() }
+func (r *Router) loadChanged() { r.heartbeatPending = r.heartbeatPending || !r.sharing() }
 
 // tellChange sends a beat ahead of its time where what this host carries has changed.
 func (r *Router) tellChange() {
-	if r.changed && r.now >= r.changeAt {
+	if r.heartbeatPending && r.now >= r.earlyHeartbeatAt {
 		r.sendBeats()
 	}
 }
@@ -105,7 +105,7 @@
 	r.seq++
 	b := &gossippb.Beat{
 		Host: r.opt.Host, Zone: r.opt.Zone, Incarnation: r.opt.Incarnation, Seq: r.seq, Leaving: r.drain != nil,
-		ConfigVersion: r.version(), Revision: r.news.revision.Number, Era: r.news.revision.Era, Digest: r.digest(),
+		ConfigVersion: r.version(), Revision: r.updates.revision.Number, Era: r.updates.revision.Era, Digest: r.digest(),
 		ReadsStore: r.inContact(), ListsStore: r.lists(), Loads: r.ownLoads(),
 		Dead: r.ownDead(), AgeMs: r.ageMs(), Suspects: r.newSuspects(),
 		Leaves: r.ownLeaving(), Evacuations: r.toldEvacuations(),
@@ -114,24 +114,24 @@
 		b.Failing = r.hashesOf(func(b *backend) bool { return b.fails() })
 	}
 	fill(b)
-	r.emit(SendHeartbeat{To: to, Beat: b})
+	r.emit(SendHeartbeat{To: to, Heartbeat: b})
 }
 
 // beatTargets are the hosts that this one talks to directly and hears, and now and then those that
 // may be there.
 func (r *Router) beatTargets() []string {
 	for _, h := range r.opt.Seeds {
-		r.meet(h, "")
+		r.learnHost(h, "")
 	}
 	var to []string
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
-		if r.direct(m.zone) && (!m.silent || r.due(h)) {
+		if r.direct(m.zone) && (!m.unreachable || r.due(h)) {
 			to = append(to, h)
 		}
 	}
 	var strangers []string
-	for h := range r.members.greet {
+	for h := range r.members.contactAt {
 		zone := r.members.zoneOf[h]
 		if r.members.byHost[h] == nil && (zone == "" || r.direct(zone)) {
 			strangers = append(strangers, h)
@@ -148,10 +148,10 @@
 
 // due paces the beats to hosts that do not answer.
 func (r *Router) due(host string) bool {
-	if r.now < r.members.greet[host] {
+	if r.now < r.members.contactAt[host] {
 		return false
 	}
-	r.members.greet[host] = r.now + greetEvery
+	r.members.contactAt[host] = r.now + contactInterval
 	return true
 }
 
@@ -159,7 +159,7 @@
 	var out []*gossippb.Load
 	for _, b := range r.allBackends() {
 		if b.own.total() > 0 {
-			out = append(out, b.own.message(b.hash))
+			out = append(out, b.own.toProto(b.hash))
 		}
 	}
 	return out
@@ -177,13 +177,13 @@
 // changed since the last one.
 func (r *Router) ownSpent() []*gossippb.Spent {
 	var out []*gossippb.Spent
-	r.spentTold++
-	whole := !r.sharing() || r.spentTold%spentEvery == 0
+	r.spentReports++
+	whole := !r.sharing() || r.spentReports%spentEvery == 0
 	for _, name := range r.quotaNames() {
 		q := r.quotas[name]
-		if s := uint64(q.Spent()); s > 0 && (whole || s != r.toldSpent[name]) {
+		if s := uint64(q.Spent()); s > 0 && (whole || s != r.reportedSpent[name]) {
 			out = append(out, &gossippb.Spent{Workspace: name, Amount: s})
-			r.toldSpent[name] = s
+			r.reportedSpent[name] = s
 		}
 	}
 	return out
@@ -191,8 +191,8 @@
 
 // quotaNames are the workspaces with quotas, in order; the list is kept until a configuration changes them.
 func (r *Router) quotaNames() []string {
-	if r.quotaOrder == nil {
-		r.quotaOrder = slices.Sorted(maps.Keys(r.quotas))
+	if r.sortedQuotas == nil {
+		r.sortedQuotas = slices.Sorted(maps.Keys(r.quotas))
 	}
-	return r.quotaOrder
+	return r.sortedQuotas
 }
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -50,7 +50,7 @@
 			h.Reduce(z.now, n)
 			word := &gossippb.Occupancy{}
 			for _, be := range h.allBackends()[:10] {
-				word.Loads = append(word.Loads, be.carried().message(be.hash))
+				word.Loads = append(word.Loads, be.carried().toProto(be.hash))
 			}
 			from := h.zoneMates()[0]
 			b.ReportAllocs()
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -155,6 +155,6 @@
 	if !b.cold(r.now) {
 		return
 	}
-	r.inv.Check(r.bears(b), "cold backend server %s gets more than this host's part", b.ID)
+	r.invariants.Check(r.bears(b), "cold backend server %s gets more than this host's part", b.ID)
 	b.warming.level--
 }
--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -54,7 +54,7 @@
 	r.Reduce(14*time.Second, Update{After: rev(0), AsOf: rev(90), Revision: rev(90), Changes: servers(rev(80), "b", "ghost")})
 	require.False(t, usable(r, "b"))
 	require.False(t, usable(r, "ghost"))
-	require.Equal(t, inEra(2, 22), r.news.complete)
+	require.Equal(t, inEra(2, 22), r.updates.complete)
 }
 
 // A host has heard that a server leaves; the copy is older and says that it is ready, as does what comes later of the same
@@ -110,8 +110,8 @@
 	reader, refused := lone(t, "a"), lone(t, "a")
 	reader.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{}))
 	beat := func(seq uint64) *gossippb.Beat {
-		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: reader.news.revision.Number,
-			Era: reader.news.revision.Era, Digest: 7}
+		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: reader.updates.revision.Number,
+			Era: reader.updates.revision.Era, Digest: 7}
 	}
 	refused.Reduce(2*time.Second, HeartbeatReceived{beat(1)})
 	pull, ok := has[Pull](refused.Reduce(2*time.Second+pullAfter, HeartbeatReceived{beat(2)}))
@@ -125,7 +125,7 @@
 	told.From = "10.0.0.9"
 	out := refused.Reduce(3*time.Second, told)
 	require.Equal(t, "10.0.0.9", noteOf(out, "store is back from an older copy").Subject)
-	require.Equal(t, inEra(1, 20), refused.news.complete)
+	require.Equal(t, inEra(1, 20), refused.updates.complete)
 	require.True(t, usable(refused, "a"))
 	refused.Reduce(3*time.Second+eraPatience, Tick{})
 	require.False(t, usable(refused, "a"))
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -54,16 +54,16 @@
 	}
 	was := r.evacuated(e.Zone)
 	if ok {
-		r.news.prints -= known.print()
+		r.updates.prints -= known.print()
 	}
 	taken := &evacuation{e, r.now}
 	r.evacuations[e.Zone] = taken
-	r.news.prints += taken.print()
-	r.news.revision = routing.Latest(r.news.revision, e.Revision)
+	r.updates.prints += taken.print()
+	r.updates.revision = routing.Latest(r.updates.revision, e.Revision)
 	if was == !e.Ended {
 		return
 	}
-	r.changed = true // others are told at once
+	r.heartbeatPending = true // others are told at once
 	what := "zone evacuated"
 	if e.Ended {
 		what = "zone taken back"
@@ -115,8 +115,8 @@
 
 // expireEvacuations takes back zones whose evacuation the store has lost for good.
 func (r *Router) expireEvacuations() {
-	era := r.news.complete.Era
-	if era == 0 || len(r.evacuations) == 0 || r.now-r.news.eraAt < evacuationPatience {
+	era := r.updates.complete.Era
+	if era == 0 || len(r.evacuations) == 0 || r.now-r.updates.eraAt < evacuationPatience {
 		return
 	}
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -238,11 +238,11 @@
 	Backend routing.Backend
 	// Attempt counts the sends of this request from 1.
 	Attempt int
-	// Keep is how many idle connections to the backend server this host may hold.
-	Keep int
+	// MaxIdleConns is how many idle connections to the backend server this host may hold.
+	MaxIdleConns int
 	// At is when it was decided: the permission is short-lived.
-	At      time.Duration
-	Grounds DecisionBasis
+	At    time.Duration
+	Basis DecisionBasis
 }
 
 // Cause is why a request ends without a backend server's answer.
@@ -277,7 +277,7 @@
 	ID         uint64
 	Cause      Cause
 	RetryAfter time.Duration
-	Grounds    DecisionBasis
+	Basis      DecisionBasis
 }
 
 // GiveUp ends a request that may have run. PassOn delivers the failure that a backend server gave
@@ -290,8 +290,8 @@
 
 // SendHeartbeat sends a heartbeat to hosts by their IP numbers.
 type SendHeartbeat struct {
-	To   []string
-	Beat *gossippb.Beat
+	To        []string
+	Heartbeat *gossippb.Beat
 }
 
 // Send sends a datagram that is no heartbeat to hosts by their IP numbers.
@@ -327,8 +327,8 @@
 // Probe asks whether a backend server can still be reached, as a Checked event. A connection that is made is kept for the next
 // request, among at most Keep.
 type Probe struct {
-	Backend routing.Backend
-	Keep    int
+	Backend      routing.Backend
+	MaxIdleConns int
 }
 
 // Note is a change of belief, for logs.
--- a/internal/router/failing.go
+++ b/internal/router/failing.go
@@ -98,20 +98,20 @@
 	if was || !b.fails() || r.backends[b.ID] != b {
 		return
 	}
-	r.changed = r.changed || !r.sharing()
+	r.heartbeatPending = r.heartbeatPending || !r.sharing()
 	r.owners.tellAt = min(r.owners.tellAt, r.now)
 	r.emit(Note{What: "backend server fails", Subject: b.ID, Detail: b.Service})
 }
 
 // takeFailing takes which backend servers fail another host's requests.
 func (r *Router) takeFailing(m *member, list []uint32) {
-	r.recount(m.failing, list, func(b *backend) *int { return &b.saidFailing })
-	m.failing = list
+	r.updateReportCounts(m.failingBackends, list, func(b *backend) *int { return &b.saidFailing })
+	m.failingBackends = list
 }
 
 // saidFailingAt counts the hosts whose requests a backend server fails.
 func (r *Router) saidFailingAt(hash uint32) int {
-	return r.namedBy(hash, func(m *member) []uint32 { return m.failing })
+	return r.countReporting(hash, func(m *member) []uint32 { return m.failingBackends })
 }
 
 // takeOwnersFailing takes an owner's word of which of its backend servers fail requests. Those that it no longer names are
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -78,7 +78,7 @@
 		}
 		b := newBench(t, 3)
 		for i := range fullMesh + 1 {
-			b.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
+			b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
 		b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 		ev := eventOf("10.0.0.2", &p)
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -23,7 +23,7 @@
 		r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: &gossippb.Offer{Number: a.Number, Full: r.occupancyOf(a.Service)}}})
 		return
 	}
-	o := &gossippb.Offer{Number: a.Number, Place: c.b.carried().message(c.b.hash), Limit: uint32(max(0, c.grounds.Limit)),
+	o := &gossippb.Offer{Number: a.Number, Place: c.b.carried().toProto(c.b.hash), Limit: uint32(max(0, c.grounds.Limit)),
 		WaitUs: uint32(max(0, c.grounds.Wait).Microseconds())}
 	r.carry(m, c.b.hash, q.bucket(), 1, q.PromptTok)
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: o}})
@@ -37,7 +37,7 @@
 	}
 	q := &request{service: a.Service, Submit: Submit{
 		Route: &routing.Route{Kind: kind, Target: time.Duration(a.TargetMs) * time.Millisecond},
-		Rank:  rankOf(a), PromptTok: int(min(a.Prompt, maxUnread)), OutputTok: int(a.Output),
+		Rank:  rankOf(a), PromptTok: int(min(a.Prompt, maxPrefillBacklog)), OutputTok: int(a.Output),
 		Deadline: r.now + time.Duration(a.LeftMs)*time.Millisecond,
 	}}
 	for _, hash := range a.Avoid {
@@ -61,7 +61,7 @@
 	var out []*gossippb.Load
 	for _, b := range r.zoneBackendsOf(service) {
 		if r.owns(b) {
-			out = append(out, b.carried().message(b.hash))
+			out = append(out, b.carried().toProto(b.hash))
 		}
 	}
 	return out
@@ -75,7 +75,7 @@
 	was := m.loads[hash]
 	now := was
 	now.counts[priority] = max(0, was.counts[priority]+requests)
-	now.unread = min(max(0, was.unread+unread), maxUnread)
+	now.prefillBacklog = min(max(0, was.prefillBacklog+unread), maxPrefillBacklog)
 	if now == (load{}) {
 		delete(m.loads, hash)
 	} else {
@@ -86,7 +86,7 @@
 		return
 	}
 	b.others.counts[priority] += now.counts[priority] - was.counts[priority]
-	b.others.unread += now.unread - was.unread
+	b.others.prefillBacklog += now.prefillBacklog - was.prefillBacklog
 	b.toldAt = r.now
 }
 
@@ -112,8 +112,8 @@
 		b.replaced = true
 		r.backendEnded(b)
 	case gossippb.Outcome_OUTCOME_UNREACHABLE:
-		if known && !slices.Contains(m.dead, rep.Backend) {
-			r.takeDead(m, append(slices.Clone(m.dead), rep.Backend))
+		if known && !slices.Contains(m.deadBackends, rep.Backend) {
+			r.applyDead(m, append(slices.Clone(m.deadBackends), rep.Backend))
 		}
 	}
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// silentAfter is when a host's counts are no longer added: what it had in flight has most
+	// minHostTimeout is when a host's counts are no longer added: what it had in flight has most
 	// likely ended, and a dead host's connections are closed. Three times the beat and some loss.
-	silentAfter = 800 * time.Millisecond
-	// silentBeats is the same in periods of beats, where these are long.
-	silentBeats = 3.3
-	// forgetAfter is when a silent host no longer counts for shares of limits. A cut looks like a death, and a
+	minHostTimeout = 800 * time.Millisecond
+	// hostTimeoutIntervals is the same in periods of beats, where these are long.
+	hostTimeoutIntervals = 3.3
+	// hostTTL is when a silent host no longer counts for shares of limits. A cut looks like a death, and a
 	// host that is only cut off still spends: once it is forgotten, each side lets a whole quota through. Regions lose
 	// each other for an hour now and then, and this is twice that. The price: after hosts are lost for good and
 	// not replaced, workspaces have their part of the quotas less for so long; with half of it, a cut of a little over
 	// an hour lets several times a quota through.
-	forgetAfter = 2 * time.Hour
-	// greetEvery is how often seeds and silent hosts are sent a beat. It bounds how long a zone is still
+	hostTTL = 2 * time.Hour
+	// contactInterval is how often seeds and silent hosts are sent a beat. It bounds how long a zone is still
 	// taken for cut off, and requests are refused beside its idle engines, when it is not any more.
-	greetEvery = 250 * time.Millisecond
-	// youngFor is how long a host counts as just started: all that it says it has admitted is recent then.
-	youngFor = 4 * time.Second
+	contactInterval = 250 * time.Millisecond
+	// newHostDuration is how long a host counts as just started: all that it says it has admitted is recent then.
+	newHostDuration = 4 * time.Second
 	// maxPriorityCount is the most that one byte of a load tells.
 	maxPriorityCount = 255
 )
@@ -66,81 +66,83 @@
 // load is what a host or a zone carries at one backend server.
 type load struct {
 	counts
-	// unread are the prompt tokens of streams that have not begun.
-	unread int
+	// prefillBacklog are the prompt tokens of streams that have not begun.
+	prefillBacklog int
 }
 
 func (l *load) add(more load) {
 	l.counts.add(more.counts)
-	l.unread += more.unread
+	l.prefillBacklog += more.prefillBacklog
 }
 
-// message is the load as beats tell it.
-func (l load) message(hash uint32) *gossippb.Load {
-	return &gossippb.Load{Backend: hash, InFlight: l.pack(), Unread: uint32(min(max(0, l.unread), maxUnread))}
+// toProto is the load as beats tell it.
+func (l load) toProto(hash uint32) *gossippb.Load {
+	return &gossippb.Load{Backend: hash, InFlight: l.pack(), Unread: uint32(min(max(0, l.prefillBacklog), maxPrefillBacklog))}
 }
 
-// maxUnread bounds what is believed to be unread at one backend server by one word: no engine's memory
+// maxPrefillBacklog bounds what is believed to be unread at one backend server by one word: no engine's memory
 // holds more tokens.
-const maxUnread = 1 << 24
+const maxPrefillBacklog = 1 << 24
 
 // loads are by backend server, named by the hash of its id.
 type loads map[uint32]load
 
-func loadsOf(list []*gossippb.Load) loads {
+func loadsFromProto(list []*gossippb.Load) loads {
 	out := make(loads, len(list))
 	for _, l := range list {
-		out[l.Backend] = loadOf(l)
+		out[l.Backend] = loadFromProto(l)
 	}
 	return out
 }
 
-func loadOf(l *gossippb.Load) load { return load{unpack(l.InFlight), int(min(l.Unread, maxUnread))} }
+func loadFromProto(l *gossippb.Load) load {
+	return load{unpack(l.InFlight), int(min(l.Unread, maxPrefillBacklog))}
+}
 
 // member is another host as its beats show it.
 type member struct {
 	host        string
-	name        string // with its incarnation, as quotas count it
+	quotaKey    string // with its incarnation, as quotas count it
 	zone        string
 	incarnation uint64
-	// replaced is the incarnation before, whose last datagrams may still be under way.
-	replaced   uint64
-	seq        uint64
-	heardAt    time.Duration
-	leaving    bool
-	loads      loads
-	readsStore bool
-	listsStore bool
-	dead       []uint32 // backend servers that it cannot reach
-	failing    []uint32 // backend servers that fail its requests
-	spent      map[string]uint64
+	// previousIncarnation is the incarnation before, whose last datagrams may still be under way.
+	previousIncarnation uint64
+	seq                 uint64
+	lastSeen            time.Duration
+	leaving             bool
+	loads               loads
+	readsStore          bool
+	listsStore          bool
+	deadBackends        []uint32 // backend servers that it cannot reach
+	failingBackends     []uint32 // backend servers that fail its requests
+	spent               map[string]uint64
 	// differsSince is when its news first differed from this host's; zero while they agree.
 	differsSince time.Duration
-	silent       bool
-	// bornAt is its start on this host's clock.
-	bornAt time.Duration
+	unreachable  bool
+	// startedAt is its start on this host's clock.
+	startedAt time.Duration
 }
 
 type members struct {
 	byHost map[string]*member
 	order  []string // sorted, so that no order of a map decides
-	// greet holds when hosts that are not heard may be sent the next beat.
-	greet map[string]time.Duration
+	// contactAt holds when hosts that are not heard may be sent the next beat.
+	contactAt map[string]time.Duration
 	// zoneOf are the zones of all hosts that were ever named.
 	zoneOf map[string]string
 	// otherZones are the zones of known hosts but this one's, in order.
 	otherZones []string
-	// mates are the other hosts of this zone that are heard; nil where the list must be made again.
-	mates []string
+	// zonePeers are the other hosts of this zone that are heard; nil where the list must be made again.
+	zonePeers []string
 }
 
 func newMembers() members {
-	return members{byHost: map[string]*member{}, greet: map[string]time.Duration{}, zoneOf: map[string]string{}}
+	return members{byHost: map[string]*member{}, contactAt: map[string]time.Duration{}, zoneOf: map[string]string{}}
 }
 
-// heard takes a beat. Beats of the incarnation before are from a process that was replaced while
+// handleHeartbeat takes a beat. Beats of the incarnation before are from a process that was replaced while
 // its datagrams were under way; beats out of order carry older counts.
-func (r *Router) heard(b *gossippb.Beat) {
+func (r *Router) handleHeartbeat(b *gossippb.Beat) {
 	if b.Host == r.opt.Host || b.Host == "" {
 		return
 	}
@@ -151,87 +153,87 @@
 	}
 	var replaced uint64
 	if known && b.Incarnation != m.incarnation {
-		if b.Incarnation == m.replaced {
+		if b.Incarnation == m.previousIncarnation {
 			return
 		}
 		replaced = m.incarnation
-		r.dropMember(m)
+		r.removeMember(m)
 		known = false
 	}
 	if !known {
-		m = &member{host: b.Host, name: b.Host + "/" + itoa(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, replaced: replaced,
-			spent: map[string]uint64{}, bornAt: r.now - time.Duration(b.AgeMs)*time.Millisecond}
+		m = &member{host: b.Host, quotaKey: b.Host + "/" + itoa(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, previousIncarnation: replaced,
+			spent: map[string]uint64{}, startedAt: r.now - time.Duration(b.AgeMs)*time.Millisecond}
 		r.members.byHost[b.Host] = m
 		r.noteZone(b.Host, b.Zone)
 		r.members.order = append(r.members.order, b.Host)
 		slices.Sort(r.members.order)
 		r.membersChanged()
 		if r.direct(b.Zone) {
-			r.zones.peersAt = 0 // so that the others hear of it with the next beat
-			r.changed = true    // and it hears soon what there is to know
+			r.zones.peersAt = 0       // so that the others hear of it with the next beat
+			r.heartbeatPending = true // and it hears soon what there is to know
 			r.emit(Note{What: "host joined", Subject: b.Host, Detail: b.Zone})
-		} else if r.now-m.bornAt <= youngFor {
+		} else if r.now-m.startedAt <= newHostDuration {
 			// It may have no seed in its own zone: without this, the hosts of zones without seeds knew a few of
 			// their zone mates each, and divided quotas and engines among these.
 			r.emitBeat([]string{b.Host}, func(reply *gossippb.Beat) { reply.Peers = r.introductions(b.Zone) })
 		}
 	}
-	returned := m.silent
+	returned := m.unreachable
 	wasCut := returned && r.zoneSilent(m.zone)
-	if m.silent {
-		m.silent = false
+	if m.unreachable {
+		m.unreachable = false
 		r.membersChanged()
-		r.emit(Note{What: "host heard again", Subject: m.host, Age: r.now - m.heardAt})
+		r.emit(Note{What: "host heard again", Subject: m.host, Age: r.now - m.lastSeen})
 	}
 	if m.leaving != b.Leaving {
 		r.membersChanged()
 	}
-	m.seq, m.heardAt, m.leaving, m.readsStore, m.listsStore = b.Seq, r.now, b.Leaving, b.ReadsStore, b.ListsStore
+	m.seq, m.lastSeen, m.leaving, m.readsStore, m.listsStore = b.Seq, r.now, b.Leaving, b.ReadsStore, b.ListsStore
 	if wasCut {
 		r.zoneBack(m.zone)
 	}
-	r.takeLoads(m, b.Loads)
-	r.takeDead(m, b.Dead)
+	r.applyLoads(m, b.Loads)
+	r.applyDead(m, b.Dead)
 	r.takeFailing(m, b.Failing)
 	r.takeSpeeds(b.Speeds)
-	r.takeSpent(m, b.Spent, returned)
+	r.applySpent(m, b.Spent, returned)
 	r.takeZones(m.zone, b.Zones)
 	r.takeSuspects(b.Suspects)
 	r.takeLeaving(m.host, b.Leaves)
 	r.takeEvacuations(m.host, b.Evacuations)
 	r.compareNews(m, b)
 	for _, p := range b.Peers {
-		r.meet(p.Host, p.Zone)
+		r.learnHost(p.Host, p.Zone)
 	}
 }
 
-// meet notes a host that a peer names; it is greeted if this host talks to it directly.
-func (r *Router) meet(host, zone string) {
+// learnHost notes a host that a peer names; it is greeted if this host talks to it directly.
+func (r *Router) learnHost(host, zone string) {
 	if host == r.opt.Host || r.members.byHost[host] != nil {
 		return
 	}
 	if zone != "" {
 		r.noteZone(host, zone)
 	}
-	if _, ok := r.members.greet[host]; !ok {
-		r.members.greet[host] = 0
+	if _, ok := r.members.contactAt[host]; !ok {
+		r.members.contactAt[host] = 0
 	}
 }
 
-func (r *Router) takeLoads(m *member, list []*gossippb.Load) {
-	r.countLoads(m.loads, -1)
-	m.loads = loadsOf(list)
-	r.countLoads(m.loads, 1)
+func (r *Router) applyLoads(m *member, list []*gossippb.Load) {
+	r.addOthersLoads(m.loads, -1)
+	m.loads = loadsFromProto(list)
+	r.addOthersLoads(m.loads, 1)
 }
 
-// takeDead takes which backend servers a host cannot reach.
-func (r *Router) takeDead(m *member, dead []uint32) {
-	r.recount(m.dead, dead, func(b *backend) *int { return &b.saidDead })
-	m.dead = dead
+// applyDead takes which backend servers a host cannot reach.
+func (r *Router) applyDead(m *member, dead []uint32) {
+	r.updateReportCounts(m.deadBackends, dead, func(b *backend) *int { return &b.saidDead })
+	m.deadBackends = dead
 }
 
-// recount keeps how many hosts name a backend server, as one of them names others than before.
-func (r *Router) recount(was, now []uint32, hosts func(*backend) *int) {
+// updateReportCounts keeps how many hosts name a backend server, as one of them names others than before.
+func (r *Router) updateReportCounts(was, now []uint32, hosts func(*backend) *int) {
 	for _, hash := range was {
 		if b, ok := r.byHash[hash]; ok {
 			*hosts(b)--
@@ -244,8 +246,8 @@
 	}
 }
 
-// namedBy counts the hosts that name a backend server among others.
-func (r *Router) namedBy(hash uint32, names func(*member) []uint32) int {
+// countReporting counts the hosts that name a backend server among others.
+func (r *Router) countReporting(hash uint32, names func(*member) []uint32) int {
 	n := 0
 	for _, h := range r.members.order {
 		if slices.Contains(names(r.members.byHost[h]), hash) {
@@ -255,8 +257,8 @@
 	return n
 }
 
-// countLoads adds others' counts to the beliefs, or takes them away again.
-func (r *Router) countLoads(l loads, sign int) {
+// addOthersLoads adds others' counts to the beliefs, or takes them away again.
+func (r *Router) addOthersLoads(l loads, sign int) {
 	for hash, what := range l {
 		b, ok := r.byHash[hash]
 		if !ok {
@@ -265,16 +267,16 @@
 		for p, n := range what.counts {
 			b.others.counts[p] += sign * n
 		}
-		b.others.unread += sign * what.unread
+		b.others.prefillBacklog += sign * what.prefillBacklog
 		b.toldAt = r.now
 	}
 }
 
-func (r *Router) takeSpent(m *member, spent []*gossippb.Spent, returned bool) {
+func (r *Router) applySpent(m *member, spent []*gossippb.Spent, returned bool) {
 	for _, s := range spent {
 		m.spent[s.Workspace] = s.Amount
 		if q, ok := r.quotas[s.Workspace]; ok {
-			q.Heard(limit.Word{From: m.name, Spent: float64(s.Amount), InZone: m.zone == r.opt.Zone, Returned: returned, Young: r.now-m.bornAt <= youngFor})
+			q.Heard(limit.Word{From: m.quotaKey, Spent: float64(s.Amount), InZone: m.zone == r.opt.Zone, Returned: returned, Young: r.now-m.startedAt <= newHostDuration})
 			if q.Tight() {
 				r.zones.tightUntil = r.now + tightFor
 			}
@@ -282,45 +284,45 @@
 	}
 }
 
-// silentAfter is how long a host must not be heard to count as silent.
-func (r *Router) silentAfter() time.Duration {
-	return max(silentAfter, time.Duration(silentBeats*float64(r.beatPeriod())))
+// hostTimeout is how long a host must not be heard to count as silent.
+func (r *Router) hostTimeout() time.Duration {
+	return max(minHostTimeout, time.Duration(hostTimeoutIntervals*float64(r.beatPeriod())))
 }
 
 // expireMembers stops counting what silent hosts said, and later forgets them.
 func (r *Router) expireMembers() {
-	patience := r.silentAfter()
+	patience := r.hostTimeout()
 	for _, host := range slices.Clone(r.members.order) {
 		m := r.members.byHost[host]
-		quiet := r.now - m.heardAt
+		quiet := r.now - m.lastSeen
 		if quiet > patience && !r.direct(m.zone) {
 			// A host of another zone is heard while it speaks for its zone or has requests here.
-			r.dropMember(m)
+			r.removeMember(m)
 			continue
 		}
-		if quiet > patience && !m.silent {
-			m.silent = true
+		if quiet > patience && !m.unreachable {
+			m.unreachable = true
 			r.membersChanged()
-			r.countLoads(m.loads, -1)
+			r.addOthersLoads(m.loads, -1)
 			m.loads = nil
-			r.takeDead(m, nil)
+			r.applyDead(m, nil)
 			r.takeFailing(m, nil)
 			r.emit(Note{What: "host silent", Subject: host, Age: quiet})
 		}
-		if quiet > forgetAfter || (m.silent && m.leaving) {
-			r.dropMember(m)
-			r.members.greet[host] = r.now
+		if quiet > hostTTL || (m.unreachable && m.leaving) {
+			r.removeMember(m)
+			r.members.contactAt[host] = r.now
 			r.emit(Note{What: "host forgotten", Subject: host, Age: quiet})
 		}
 	}
 }
 
-func (r *Router) dropMember(m *member) {
-	r.countLoads(m.loads, -1)
-	r.takeDead(m, nil)
+func (r *Router) removeMember(m *member) {
+	r.addOthersLoads(m.loads, -1)
+	r.applyDead(m, nil)
 	r.takeFailing(m, nil)
 	for _, q := range r.quotas {
-		q.Forget(m.name)
+		q.Forget(m.quotaKey)
 	}
 	delete(r.members.byHost, m.host)
 	r.members.order = slices.DeleteFunc(r.members.order, func(h string) bool { return h == m.host })
@@ -329,6 +331,6 @@
 
 // membersChanged makes what is computed from the hosts that live anew at its next use.
 func (r *Router) membersChanged() {
-	r.members.mates = nil
+	r.members.zonePeers = nil
 	r.owners.valid = false
 }
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -71,20 +71,20 @@
 }
 
 func (r *Router) storeContact(ok bool) {
-	if r.news.triedAt == 0 {
-		r.news.triedAt = max(1, r.now)
+	if r.updates.triedAt == 0 {
+		r.updates.triedAt = max(1, r.now)
 	}
 	if !ok {
-		r.changed = r.changed || r.lists() // those that rely on it hear at once
-		r.news.failed = true
+		r.heartbeatPending = r.heartbeatPending || r.lists() // those that rely on it hear at once
+		r.updates.failed = true
 	}
-	if ok == !r.news.lost {
+	if ok == !r.updates.lost {
 		return
 	}
-	r.news.lost = !ok
-	r.changed = r.changed || r.news.reading
+	r.updates.lost = !ok
+	r.heartbeatPending = r.heartbeatPending || r.updates.reading
 	if ok {
-		r.news.backAt = r.now
+		r.updates.backAt = r.now
 		r.emit(Note{What: "store answers"})
 		return
 	}
@@ -97,13 +97,13 @@
 func (r *Router) takeNews(n Update) {
 	if n.FromStore {
 		r.storeContact(true)
-		r.news.synced = true
-		r.news.heardAt = r.now
+		r.updates.synced = true
+		r.updates.heardAt = r.now
 	}
 	if n.Config != nil && n.Config.Version > r.version() {
 		r.adopt(n.Config)
 	}
-	before := r.news.changes
+	before := r.updates.changes
 	for _, e := range n.Evacuations {
 		r.takeEvacuation(e, cmp.Or(n.From, "store"))
 	}
@@ -114,9 +114,9 @@
 		r.removeUnlisted(n)
 		r.endUnlisted(n)
 	}
-	r.news.revision = routing.Latest(r.news.revision, n.Revision)
-	if !n.After.After(r.news.complete) {
-		r.advance(n, r.news.changes-before)
+	r.updates.revision = routing.Latest(r.updates.revision, n.Revision)
+	if !n.After.After(r.updates.complete) {
+		r.advance(n, r.updates.changes-before)
 	}
 	if n.FromStore && !n.Full {
 		r.pushChanges(n.Changes)
@@ -130,14 +130,14 @@
 // advance notes up to which revision every change is known. Where that is of a later era, the store has come back from an older
 // copy of itself.
 func (r *Router) advance(n Update, changed int) {
-	was := r.news.complete
-	r.news.complete = routing.Latest(was, n.AsOf)
-	if r.news.complete.Era == was.Era {
+	was := r.updates.complete
+	r.updates.complete = routing.Latest(was, n.AsOf)
+	if r.updates.complete.Era == was.Era {
 		return
 	}
-	r.news.eraAt = r.now
+	r.updates.eraAt = r.now
 	// Peers hear of the era by this, also where the copy lists no backend server.
-	r.news.revision = routing.Latest(r.news.revision, routing.Revision{Era: r.news.complete.Era})
+	r.updates.revision = routing.Latest(r.updates.revision, routing.Revision{Era: r.updates.complete.Era})
 	if was == (routing.Revision{}) {
 		return // this host has just started
 	}
@@ -146,13 +146,13 @@
 		from = "store"
 	}
 	r.emit(Note{What: "store is back from an older copy", Subject: from,
-		Detail: fmt.Sprintf("revision %s after %s, %d backend servers changed", r.news.complete, was, changed)})
+		Detail: fmt.Sprintf("revision %s after %s, %d backend servers changed", r.updates.complete, was, changed)})
 }
 
 // dropLost gives up the backend servers that the store had lost and that have not registered there again.
 func (r *Router) dropLost() {
-	era := r.news.complete.Era
-	if era == 0 || r.now-r.news.eraAt < eraPatience {
+	era := r.updates.complete.Era
+	if era == 0 || r.now-r.updates.eraAt < eraPatience {
 		return
 	}
 	for _, b := range r.allBackends() {
@@ -204,9 +204,9 @@
 }
 
 func (r *Router) adopt(c *routing.Config) {
-	r.inv.Check(c.Version > r.version(), "configuration goes back from %d to %d", r.version(), c.Version)
+	r.invariants.Check(c.Version > r.version(), "configuration goes back from %d to %d", r.version(), c.Version)
 	// Those that wait for a first configuration, or rely on this host's reading, hear of it at once.
-	r.changed = r.changed || r.table == nil || r.news.reading
+	r.heartbeatPending = r.heartbeatPending || r.table == nil || r.updates.reading
 	r.table = routing.NewTable(c)
 	r.noteUnknownRegions(c)
 	for i := range c.Workspaces {
@@ -219,8 +219,8 @@
 // waits a moment longer: its part of the quotas follows from how many hosts there are, which it does not
 // know yet.
 func (r *Router) announce() {
-	r.news.withheld = r.relaying() && r.now < startWait
-	if !r.news.withheld {
+	r.updates.withheld = r.relaying() && r.now < startWait
+	if !r.updates.withheld {
 		r.emit(ConfigActivated{r.table})
 	}
 }
@@ -229,7 +229,7 @@
 	q, ok := r.quotas[w.Name]
 	if w.Rate <= 0 {
 		delete(r.quotas, w.Name)
-		r.quotaOrder = nil
+		r.sortedQuotas = nil
 		return
 	}
 	if ok {
@@ -244,11 +244,11 @@
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
 		if s, ok := m.spent[w.Name]; ok {
-			q.Heard(limit.Word{From: m.name, Spent: float64(s)})
+			q.Heard(limit.Word{From: m.quotaKey, Spent: float64(s)})
 		}
 	}
 	r.quotas[w.Name] = q
-	r.quotaOrder = nil
+	r.sortedQuotas = nil
 }
 
 func (r *Router) removeUnlisted(n Update) {
@@ -281,15 +281,15 @@
 // allBackends are the known backend servers in order of their ids; the list is kept until one is added
 // or removed, as each beat and tick goes through it.
 func (r *Router) allBackends() []*backend {
-	if r.ordered == nil {
-		r.ordered = slices.SortedFunc(maps.Values(r.backends), func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
+	if r.sortedBackends == nil {
+		r.sortedBackends = slices.SortedFunc(maps.Values(r.backends), func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
 	}
-	return r.ordered
+	return r.sortedBackends
 }
 
 // forgetOrder makes the lists of backend servers anew at their next use.
 func (r *Router) forgetOrder() {
-	r.ordered, r.byService, r.inZone, r.byZone = nil, nil, nil, nil
+	r.sortedBackends, r.byService, r.zoneByService, r.byZone = nil, nil, nil, nil
 	r.owners.valid = false
 }
 
@@ -324,10 +324,10 @@
 
 // zoneBackendsOf are those of a service that are in this host's zone, in order of their ids.
 func (r *Router) zoneBackendsOf(service string) []*backend {
-	if r.inZone == nil {
-		r.inZone = grouped(r.backendsIn(r.opt.Zone), serviceName)
+	if r.zoneByService == nil {
+		r.zoneByService = grouped(r.backendsIn(r.opt.Zone), serviceName)
 	}
-	return r.inZone[service]
+	return r.zoneByService[service]
 }
 
 // print stands for a registration in a digest.
@@ -340,7 +340,7 @@
 const versionPrint = 0x9E3779B97F4A7C15
 
 // digest is equal on hosts that hold the same news.
-func (r *Router) digest() uint64 { return r.version()*versionPrint + r.news.prints }
+func (r *Router) digest() uint64 { return r.version()*versionPrint + r.updates.prints }
 
 // compareNews asks a peer for its news if it has held others for a while: the store may be out of
 // this host's reach, or may refuse this host alone.
@@ -354,9 +354,9 @@
 	}
 	// What is known may have gaps up to the highest revision: a push that was lost, and a later one that
 	// was not. Only up to complete there are none.
-	newer := b.ConfigVersion > r.version() || routing.Revision{Era: b.Era, Number: b.Revision}.After(r.news.complete)
+	newer := b.ConfigVersion > r.version() || routing.Revision{Era: b.Era, Number: b.Revision}.After(r.updates.complete)
 	wait, every := pullAfter, pullEvery
-	since := Since{Revision: r.news.complete, Version: r.version()}
+	since := Since{Revision: r.updates.complete, Version: r.version()}
 	if !newer {
 		// Something was missed on the way, so that what is known is less than it seems: ask for all.
 		wait, every, since = pullEqual, pullEqual, Since{}
@@ -364,17 +364,17 @@
 	if r.table == nil {
 		wait = 0
 	}
-	if b.Digest == 0 || r.now-m.differsSince < wait || (r.news.pulledAt > 0 && r.now-r.news.pulledAt < every) {
+	if b.Digest == 0 || r.now-m.differsSince < wait || (r.updates.pulledAt > 0 && r.now-r.updates.pulledAt < every) {
 		return
 	}
-	r.news.pulledAt = r.now
+	r.updates.pulledAt = r.now
 	r.emit(Pull{m.host, since})
 }
 
 // Snapshot is what this host knows beyond what a peer that asks has already. At 3,000 backend servers
 // the whole is most of a megabyte, which a hundred hosts that ask at once cannot send in time.
 func (r *Router) Snapshot(since Since) Update {
-	n := Update{Revision: r.news.revision, After: since.Revision, AsOf: r.news.complete}
+	n := Update{Revision: r.updates.revision, After: since.Revision, AsOf: r.updates.complete}
 	if r.table != nil && r.version() > since.Version {
 		n.Config = r.table.Config
 	}
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -38,7 +38,7 @@
 	require.Len(t, n.Backends, 2)
 	b.post(n)
 	require.Equal(t, peer.r.digest(), b.r.digest())
-	require.Equal(t, rev(90), b.r.news.complete)
+	require.Equal(t, rev(90), b.r.updates.complete)
 	require.Nil(t, b.r.Snapshot(Since{Revision: rev(90), Version: 9}).Config)
 }
 
@@ -47,7 +47,7 @@
 func TestMissedChangeIsAskedFor(t *testing.T) {
 	b := newBench(t, 1)
 	b.post(Update{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
-	require.Equal(t, rev(50), b.r.news.complete)
+	require.Equal(t, rev(50), b.r.updates.complete)
 }
 
 // A backend server was removed while this host did not run. A peer that has not heard of it still names
@@ -73,7 +73,7 @@
 		}
 		b.post(Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Backends: list}})
 		for i := 0; i < fullMesh; i++ {
-			b.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
+			b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
 		for _, be := range b.r.backends {
 			be.own.counts[0] = 1
@@ -85,7 +85,7 @@
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.2.1", Zone: "z2", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: s0.hash, InFlight: counts{4}.pack()}}}})
 	sum := b.r.ownZoneSum()
-	loads := loadsOf(sum.Loads)
+	loads := loadsFromProto(sum.Loads)
 	require.Equal(t, 5, loads[s0.hash].total(), "this zone's and the third zone's")
 	require.NotContains(t, loads, b.r.backends["s1"].hash)
 	require.NotContains(t, loads, b.r.backends["s2"].hash)
@@ -107,7 +107,7 @@
 	reads := func() []ReadStore { return effectsOf[ReadStore](b.post(Tick{})) }
 	require.Equal(t, []ReadStore{{On: true}}, reads())
 	for i := 0; i <= fullMesh; i++ {
-		b.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
+		b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
 	require.Equal(t, []ReadStore{{On: true, Shared: true}}, reads())
 	require.Empty(t, reads())
@@ -120,7 +120,7 @@
 func TestManyChangesAtOnceReachTheZone(t *testing.T) {
 	reader := newBench(t, 0)
 	for i := 0; i <= fullMesh; i++ {
-		reader.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
+		reader.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
 	reader.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	var list []routing.BackendChange
@@ -132,8 +132,8 @@
 	mate := newBench(t, 17)
 	told := 0
 	for _, e := range reader.post(Update{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
-		if s, ok := e.(SendHeartbeat); ok && len(s.Beat.Changes) > 0 {
-			mate.r.takeChanges(s.Beat.Changes)
+		if s, ok := e.(SendHeartbeat); ok && len(s.Heartbeat.Changes) > 0 {
+			mate.r.takeChanges(s.Heartbeat.Changes)
 			told++
 		}
 	}
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -199,7 +199,7 @@
 	}
 	for _, h := range r.zoneMates() {
 		if m := r.members.byHost[h]; !m.leaving {
-			consider(h, m.bornAt)
+			consider(h, m.startedAt)
 		}
 	}
 	r.owners.ofAge = len(old) > 0
@@ -245,7 +245,7 @@
 			continue
 		}
 		if all := b.carried(); all != (load{}) {
-			o.Loads = append(o.Loads, all.message(b.hash))
+			o.Loads = append(o.Loads, all.toProto(b.hash))
 		}
 		if b.samples > 0 && (whole || b.speed().differs(b.told)) {
 			b.told = b.speed()
@@ -274,7 +274,7 @@
 // takeOccupancy takes an owner's word of what its backend servers carry.
 func (r *Router) takeOccupancy(from string, o *gossippb.Occupancy) {
 	if o.All {
-		r.takeAllOf(from, loadsOf(o.Loads))
+		r.takeAllOf(from, loadsFromProto(o.Loads))
 	} else {
 		r.takeOwnersWords(o.Loads)
 	}
@@ -302,7 +302,7 @@
 func (r *Router) takeOwnersWords(list []*gossippb.Load) {
 	for _, l := range list {
 		if b, ok := r.byHash[l.Backend]; ok {
-			r.takeOwnersWord(b, loadOf(l))
+			r.takeOwnersWord(b, loadFromProto(l))
 		}
 	}
 }
@@ -316,7 +316,7 @@
 	for p := range all.counts {
 		all.counts[p] = max(0, all.counts[p]-b.own.counts[p])
 	}
-	all.unread = max(0, all.unread-b.own.unread)
+	all.prefillBacklog = max(0, all.prefillBacklog-b.own.prefillBacklog)
 	b.fromOwner, b.ownersWord, b.ownersWordAt = true, all, r.now
 }
 
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -89,7 +89,7 @@
 		if z != zone {
 			continue
 		}
-		if m := r.members.byHost[h]; m != nil && !m.silent {
+		if m := r.members.byHost[h]; m != nil && !m.unreachable {
 			out = append(out, h)
 		} else {
 			rest = append(rest, h)
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -318,8 +318,8 @@
 func (r *Router) oldestBelief() time.Duration {
 	var age time.Duration
 	for _, h := range r.members.order {
-		if m := r.members.byHost[h]; !m.silent {
-			age = max(age, r.now-m.heardAt)
+		if m := r.members.byHost[h]; !m.unreachable {
+			age = max(age, r.now-m.lastSeen)
 		}
 	}
 	return age
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -215,7 +215,7 @@
 			r.Reduce(now, HeartbeatReceived{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: seq, ReadsStore: contact}})
 		}
 	}
-	reads := func() bool { return r.news.reading }
+	reads := func() bool { return r.updates.reading }
 	beat(1, true)
 	r.Reduce(now, Tick{})
 	require.False(t, reads(), "this host is among the readers by its hash; choose another number")
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -47,5 +47,5 @@
 		r.emit(GiveUp{ID: q.ID, Cause: Quarantined, DeliverFailure: true})
 		return
 	}
-	r.emit(Refuse{ID: q.ID, Cause: Quarantined, RetryAfter: back, Grounds: r.grounds()})
+	r.emit(Refuse{ID: q.ID, Cause: Quarantined, RetryAfter: back, Basis: r.grounds()})
 }
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -109,7 +109,7 @@
 	ok, back := r.admit(quota, q.Cost, part)
 	if !ok {
 		delete(r.requests, q.ID)
-		r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: back, Grounds: r.quotaGrounds(q, quota)})
+		r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: back, Basis: r.quotaGrounds(q, quota)})
 		return
 	}
 	q.charged = true
@@ -119,7 +119,7 @@
 func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Part) (ok bool, back time.Duration) {
 	ok, back = quota.Admit(r.now, cost, part)
 	if quota.Tight() {
-		r.tightUntil = r.now + tightFor
+		r.quotaLowUntil = r.now + tightFor
 	}
 	return ok, back
 }
@@ -204,7 +204,7 @@
 	g := r.grounds()
 	g.Owner, g.ViewAge = from, r.now-c.at
 	g.Quota = QuotaBasis{Cost: q.Cost, Remaining: a.Left, OwnShare: a.Own}
-	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Grounds: g})
+	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Basis: g})
 }
 
 // chargeAlone decides for a request whose owner does not.
--- a/internal/router/reading.go
+++ b/internal/router/reading.go
@@ -58,21 +58,21 @@
 		r.zones.readerAt = r.now
 	}
 	on := !r.relaying() || r.duty("reads the store", r.readersNow())
-	if r.news.reading && r.zones.decided && others < readers {
+	if r.updates.reading && r.zones.decided && others < readers {
 		on = true // until others have taken over
 	}
 	shared := on && r.relaying()
-	if on == r.news.reading && shared == r.zones.shared && r.zones.decided {
+	if on == r.updates.reading && shared == r.zones.shared && r.zones.decided {
 		return
 	}
-	if on && !r.news.reading {
-		r.news.listedAt, r.news.failed = r.now, false
+	if on && !r.updates.reading {
+		r.updates.listedAt, r.updates.failed = r.now, false
 	}
 	r.zones.decided = true
 	r.zones.shared = shared
-	r.news.reading = on
+	r.updates.reading = on
 	if !on {
-		r.news.lost = true
+		r.updates.lost = true
 	}
 	r.emit(ReadStore{on, shared})
 	r.emit(Note{What: "reads the store", Detail: onOff(on)})
@@ -96,12 +96,12 @@
 
 // lists tells that this host has begun to read the store, which has neither answered nor failed yet.
 func (r *Router) lists() bool {
-	return r.news.reading && r.news.lost && !r.news.failed && r.now-r.news.listedAt < listingMost
+	return r.updates.reading && r.updates.lost && !r.updates.failed && r.now-r.updates.listedAt < listingMost
 }
 
 // inContact tells whether the store has lately answered this host.
 func (r *Router) inContact() bool {
-	return r.news.reading && !r.news.lost && r.now-r.news.heardAt < contactFresh
+	return r.updates.reading && !r.updates.lost && r.now-r.updates.heardAt < contactFresh
 }
 
 func onOff(b bool) string {
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -67,8 +67,8 @@
 	if ch.Removed {
 		return
 	}
-	r.news.revision = routing.Latest(r.news.revision, ch.Revision)
-	if !ch.Revision.After(r.news.complete) {
+	r.updates.revision = routing.Latest(r.updates.revision, ch.Revision)
+	if !ch.Revision.After(r.updates.complete) {
 		return // it was removed since; whoever tells of it has not heard
 	}
 	r.emit(Note{What: "backend server joined", Subject: ch.ID, Detail: describe(ch.Backend)})
@@ -83,11 +83,11 @@
 func (r *Router) add(ch routing.BackendChange) {
 	b := newBackend(ch.Backend)
 	b.revision, b.listed = ch.Revision, ch.Revision
-	r.news.changes++
+	r.updates.changes++
 	r.backends[ch.ID] = b
 	r.index(b)
 	r.forgetOrder()
-	r.news.prints += b.print()
+	r.updates.prints += b.print()
 	b.evacuated = r.evacuated(b.Zone)
 	r.setCold(b, ch.Cold, "registration")
 	if s := r.serviceOf(b); s != nil && s.Model && !b.Model {
@@ -99,7 +99,7 @@
 // earlier start holds for it. Calls that were sent to the earlier one are broken off: where it fell silent
 // they would wait for an answer that never comes, and whether they ran is unknown.
 func (r *Router) restart(b *backend, ch routing.BackendChange) {
-	r.news.revision = routing.Latest(r.news.revision, ch.Revision)
+	r.updates.revision = routing.Latest(r.updates.revision, ch.Revision)
 	r.emit(Note{What: "backend server started again", Subject: b.ID, Detail: describe(ch.Backend)})
 	r.forgetPrint(b)
 	r.backendEnded(b)
@@ -127,7 +127,7 @@
 
 // update takes a newer registration of the same start.
 func (r *Router) update(b *backend, ch routing.BackendChange) {
-	r.news.revision = routing.Latest(r.news.revision, ch.Revision)
+	r.updates.revision = routing.Latest(r.updates.revision, ch.Revision)
 	if b.Draining && !ch.Draining && ch.Revision.Era > b.revision.Era {
 		// The store's copy is older than what this host has heard from it: no evidence against that.
 		r.markLeaving(b, "store")
@@ -142,14 +142,14 @@
 	r.forgetPrint(b)
 	moved := b.Service != ch.Service || b.Zone != ch.Zone
 	if b.Backend != ch.Backend || b.removed {
-		r.news.changes++
+		r.updates.changes++
 	}
 	b.evacuated = r.evacuated(ch.Zone)
 	r.setCold(b, ch.Cold, "registration")
 	r.owners.valid = r.owners.valid && !b.removed
 	b.Backend, b.revision, b.listed, b.removed = ch.Backend, ch.Revision, ch.Revision, false
 	delete(r.tombstones, b.ID)
-	r.news.prints += b.print()
+	r.updates.prints += b.print()
 	if moved {
 		r.forgetOrder()
 	}
@@ -157,7 +157,7 @@
 
 func (r *Router) forgetPrint(b *backend) {
 	if b.revision != (routing.Revision{}) && !b.removed {
-		r.news.prints -= b.print()
+		r.updates.prints -= b.print()
 	}
 }
 
@@ -173,11 +173,11 @@
 	if b.removed {
 		return
 	}
-	r.news.changes++
+	r.updates.changes++
 	b.removed, b.removedAt, b.doubtUntil = true, r.now, 0
 	r.tombstones[b.ID] = b
 	r.owners.valid = false
-	if !b.Draining && !ch.Foreign && (r.news.lost || r.now-r.news.backAt < outageEcho) {
+	if !b.Draining && !ch.Foreign && (r.updates.lost || r.now-r.updates.backAt < outageEcho) {
 		b.doubtUntil = r.now + doubtFor
 	}
 	if !b.Draining && !b.leaving && !ch.Foreign && b.doubtUntil == 0 {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -78,11 +78,11 @@
 		return
 	}
 	if r.requests[e.ID] != nil {
-		r.inv.Check(false, "request %d submitted twice", e.ID)
+		r.invariants.Check(false, "request %d submitted twice", e.ID)
 		return
 	}
 	if back, yes := r.quarantined(q); yes {
-		r.emit(Refuse{ID: e.ID, Cause: Quarantined, RetryAfter: back, Grounds: r.grounds()})
+		r.emit(Refuse{ID: e.ID, Cause: Quarantined, RetryAfter: back, Basis: r.grounds()})
 		return
 	}
 	q.service = r.chooseService(e.Route, e.Workspace)
@@ -131,7 +131,7 @@
 func (r *Router) send(q *request, b *backend, g DecisionBasis) {
 	q.attempt++
 	q.backend = b
-	r.inv.Check(!q.ran || q.Route.Repeatable(), "request %d of %s runs again", q.ID, q.Route.Name)
+	r.invariants.Check(!q.ran || q.Route.Repeatable(), "request %d of %s runs again", q.ID, q.Route.Name)
 	q.ran = true
 	q.runs++
 	q.sentAt = r.now
@@ -139,10 +139,10 @@
 	b.own.counts[q.bucket()]++
 	q.queued = b.inFlight() > b.Slots || 2*b.unread(r.now) > q.PromptTok
 	q.unread = q.PromptTok
-	b.own.unread += q.unread
+	b.own.prefillBacklog += q.unread
 	r.loadChanged()
 	r.reportTaken(q)
-	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, Keep: r.keep(b), At: r.now, Grounds: g})
+	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, MaxIdleConns: r.keep(b), At: r.now, Basis: g})
 }
 
 const (
@@ -165,7 +165,7 @@
 
 // grounds are those of any decision: by which news it is made.
 func (r *Router) grounds() DecisionBasis {
-	return DecisionBasis{Version: r.version(), Era: r.news.complete.Era}
+	return DecisionBasis{Version: r.version(), Era: r.updates.complete.Era}
 }
 
 // refuse ends a request for which there is no place, truly: only what has not run is called so.
@@ -183,7 +183,7 @@
 	if at := r.backAt(q.service); cause == NoBackend && at > 0 {
 		after = max(after, at-r.now)
 	}
-	r.emit(Refuse{ID: q.ID, Cause: cause, RetryAfter: after, Grounds: g})
+	r.emit(Refuse{ID: q.ID, Cause: cause, RetryAfter: after, Basis: g})
 }
 
 // comeBack is when a refused caller should return: the most urgent first, spread, and within the
@@ -319,7 +319,7 @@
 
 // promptDone takes a request's prompt out of what its backend server has still to read.
 func (q *request) promptDone() {
-	q.backend.own.unread -= q.unread
+	q.backend.own.prefillBacklog -= q.unread
 	q.unread = 0
 }
 
@@ -334,7 +334,7 @@
 	own.counts[p]--
 	q.promptDone()
 	r.loadChanged()
-	r.inv.Check(own.counts[p] >= 0 && own.unread >= 0, "backend server %s has %d in flight, %d tokens unread", q.backend.ID, own.counts[p], own.unread)
+	r.invariants.Check(own.counts[p] >= 0 && own.prefillBacklog >= 0, "backend server %s has %d in flight, %d tokens unread", q.backend.ID, own.counts[p], own.prefillBacklog)
 }
 
 func (r *Router) close(q *request) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -46,54 +46,54 @@
 
 // Router is the state of one host. Only one goroutine may use it.
 type Router struct {
-	opt      Options
-	now      time.Duration
-	rng      *rand.Rand
-	inv      invariant.Log
-	out      []Effect
-	table    *routing.Table
-	members  members
-	news     newsState
-	backends map[string]*backend
-	byHash   map[uint32]*backend
+	opt        Options
+	now        time.Duration
+	rng        *rand.Rand
+	invariants invariant.Log
+	effects    []Effect
+	table      *routing.Table
+	members    members
+	updates    newsState
+	backends   map[string]*backend
+	byHash     map[uint32]*backend
 	// tombstones are the backends whose registration is gone, and warming those that are cold, by id.
 	tombstones map[string]*backend
 	warming    map[string]*backend
-	// ordered are the backends in order of their ids; nil where it must be made again.
-	ordered []*backend
+	// sortedBackends are the backends in order of their ids; nil where it must be made again.
+	sortedBackends []*backend
 	// byService are the backends by service, in order, inZone those of this host's zone, and byZone all by zone; nil
 	// where they must be made again.
-	byService map[string][]*backend
-	inZone    map[string][]*backend
-	byZone    map[string][]*backend
-	owners    ownerState
-	// asks are the questions to owners for places.
-	asks questions[*ask]
-	// choresAt is when a large fleet's lists are next gone through.
-	choresAt time.Duration
-	zones    zoneState
-	services map[string]*service
-	requests map[uint64]*request
+	byService     map[string][]*backend
+	zoneByService map[string][]*backend
+	byZone        map[string][]*backend
+	owners        ownerState
+	// slotRequests are the questions to owners for places.
+	slotRequests questions[*ask]
+	// maintenanceAt is when a large fleet's lists are next gone through.
+	maintenanceAt time.Duration
+	zones         zoneState
+	services      map[string]*service
+	requests      map[uint64]*request
 	// candidates is where decisions gather them, kept so that none allocates.
 	candidates [classes][]candidate
 	quotas     map[string]*limit.Quota
 	limits     quotaState
-	// quotaOrder are the names of quotas, nil where the list must be made again; toldSpent is what beats
+	// sortedQuotas are the names of quotas, nil where the list must be made again; toldSpent is what beats
 	// last told of each, and spentTold counts them.
-	quotaOrder []string
-	toldSpent  map[string]uint64
-	spentTold  int
-	beatAt     time.Duration
-	// tightUntil is until when some quota is taken to be near its end; beats then go out at tightAt already.
-	tightUntil time.Duration
-	tightAt    time.Duration
-	seq        uint64
-	// changed tells that this host carries something else than its last beat said; it is told from
+	sortedQuotas  []string
+	reportedSpent map[string]uint64
+	spentReports  int
+	heartbeatAt   time.Duration
+	// quotaLowUntil is until when some quota is taken to be near its end; beats then go out at tightAt already.
+	quotaLowUntil       time.Duration
+	quotaLowHeartbeatAt time.Duration
+	seq                 uint64
+	// heartbeatPending tells that this host carries something else than its last beat said; it is told from
 	// changeAt on.
-	changed  bool
-	changeAt time.Duration
-	drain    *Drain
-	suspects suspectState
+	heartbeatPending bool
+	earlyHeartbeatAt time.Duration
+	drain            *Drain
+	suspects         suspectState
 	// evacuations are by availability zone.
 	evacuations map[string]*evacuation
 }
@@ -101,22 +101,22 @@
 // New returns a reducer in its first state: no configuration, no peers.
 func New(opt Options) *Router {
 	r := &Router{
-		opt:        opt,
-		rng:        rand.New(rand.NewPCG(opt.Seed, opt.Incarnation)),
-		members:    newMembers(),
-		news:       newNewsState(),
-		backends:   map[string]*backend{},
-		byHash:     map[uint32]*backend{},
-		tombstones: map[string]*backend{},
-		warming:    map[string]*backend{},
-		zones:      newZoneState(),
-		services:   map[string]*service{},
-		requests:   map[uint64]*request{},
-		quotas:     map[string]*limit.Quota{},
-		toldSpent:  map[string]uint64{},
-		owners:     newOwnerState(),
-		limits:     newQuotaState(),
-		suspects:   newSuspectState(),
+		opt:           opt,
+		rng:           rand.New(rand.NewPCG(opt.Seed, opt.Incarnation)),
+		members:       newMembers(),
+		updates:       newNewsState(),
+		backends:      map[string]*backend{},
+		byHash:        map[uint32]*backend{},
+		tombstones:    map[string]*backend{},
+		warming:       map[string]*backend{},
+		zones:         newZoneState(),
+		services:      map[string]*service{},
+		requests:      map[uint64]*request{},
+		quotas:        map[string]*limit.Quota{},
+		reportedSpent: map[string]uint64{},
+		owners:        newOwnerState(),
+		limits:        newQuotaState(),
+		suspects:      newSuspectState(),
 
 		evacuations: map[string]*evacuation{},
 	}
@@ -144,7 +144,7 @@
 	case DispatchEnded:
 		r.ended(e)
 	case HeartbeatReceived:
-		r.heard(e.Heartbeat)
+		r.handleHeartbeat(e.Heartbeat)
 	case SlotRequestReceived:
 		r.asked(e.From, e.Ask)
 	case SlotOfferReceived:
@@ -168,20 +168,20 @@
 	case ProbeResult:
 		r.checked(e)
 	case SettingsChanged:
-		r.settle(e)
+		r.applySettings(e)
 	case Drain:
 		r.drain = &e
 		r.membersChanged()
 		r.sendBeats()
 	}
 	r.tellChange()
-	out := r.out
-	r.out = nil
+	out := r.effects
+	r.effects = nil
 	return out
 }
 
-// settle takes changed settings; limits go on with the new bounds from what is spent.
-func (r *Router) settle(e SettingsChanged) {
+// applySettings takes changed settings; limits go on with the new bounds from what is spent.
+func (r *Router) applySettings(e SettingsChanged) {
 	r.opt.Seeds = e.Seeds
 	if e.Bounds == r.opt.Bounds {
 		return
@@ -200,34 +200,34 @@
 	return limit.Allowance{Window: b.QuotaWindow, Over: b.QuotaOver, Slack: b.QuotaSlack}
 }
 
-func (r *Router) emit(e Effect) { r.out = append(r.out, e) }
+func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// choresEvery is how often a host of a large fleet goes through its lists of hosts and backend servers. What
+// maintenanceInterval is how often a host of a large fleet goes through its lists of hosts and backend servers. What
 // expires there does so after half a second or more, so that a tenth later is early enough.
-const choresEvery = 100 * time.Millisecond
+const maintenanceInterval = 100 * time.Millisecond
 
 func (r *Router) tick() {
 	r.expireAsks()
 	r.expireCharges()
-	if r.now >= r.choresAt {
-		r.chores()
+	if r.now >= r.maintenanceAt {
+		r.runMaintenance()
 		if r.relaying() {
-			r.choresAt = r.now + choresEvery
+			r.maintenanceAt = r.now + maintenanceInterval
 		}
 	}
-	if r.news.withheld {
+	if r.updates.withheld {
 		r.announce()
 	}
 	r.relaySums()
 	r.tellOccupancy()
 	r.sendZoneSums()
-	if r.now >= r.beatAt || (r.now < r.tightUntil && r.now >= r.tightAt) {
+	if r.now >= r.heartbeatAt || (r.now < r.quotaLowUntil && r.now >= r.quotaLowHeartbeatAt) {
 		r.sendBeats()
 	}
 }
 
-// chores are what time does to lists.
-func (r *Router) chores() {
+// runMaintenance are what time does to lists.
+func (r *Router) runMaintenance() {
 	r.expireMembers()
 	r.expireZones()
 	r.expireNews()
@@ -239,7 +239,7 @@
 }
 
 // Violations takes the invariant violations since the last call.
-func (r *Router) Violations() []string { return r.inv.Take() }
+func (r *Router) Violations() []string { return r.invariants.Take() }
 
 // Table is the configuration in force, or nil.
 func (r *Router) Table() *routing.Table { return r.table }
@@ -247,8 +247,8 @@
 // Ready tells whether the balancer should send callers here: the configuration is known from the
 // store, or from a peer while the store does not answer, and the host is not shutting down.
 func (r *Router) Ready() bool {
-	if r.table == nil || r.drain != nil || r.news.withheld {
+	if r.table == nil || r.drain != nil || r.updates.withheld {
 		return false
 	}
-	return r.news.synced || r.now-r.news.triedAt >= storePatience
+	return r.updates.synced || r.now-r.updates.triedAt >= storePatience
 }
--- a/internal/router/said.go
+++ b/internal/router/said.go
@@ -36,7 +36,7 @@
 		return
 	}
 	b.leaving = true
-	r.changed = true // others are told at once: it ends soon, with what they still send there
+	r.heartbeatPending = true // others are told at once: it ends soon, with what they still send there
 	r.emit(Note{What: "backend server says that it leaves", Subject: b.ID, Detail: by})
 }
 
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -129,12 +129,12 @@
 // unread is how many prompt tokens an engine is believed to have still to read. What others told is
 // worked off since.
 func (b *backend) unread(now time.Duration) int {
-	others, at := b.others.unread, b.toldAt
+	others, at := b.others.prefillBacklog, b.toldAt
 	if b.fromOwner {
-		others, at = b.ownersWord.unread, b.ownersWordAt
+		others, at = b.ownersWord.prefillBacklog, b.ownersWordAt
 	}
 	if others > 0 && b.read > 0 {
 		others = max(0, others-int((now-at)/b.read))
 	}
-	return b.own.unread + others
+	return b.own.prefillBacklog + others
 }
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -92,7 +92,7 @@
 		var out []*gossippb.Speed
 		for _, e := range b.post(Tick{}) {
 			if s, ok := e.(SendHeartbeat); ok {
-				out = append(out, s.Beat.Speeds...)
+				out = append(out, s.Heartbeat.Speeds...)
 			}
 		}
 		return out
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -94,7 +94,7 @@
 	inForce := func(list []Effect) bool { return len(effectsOf[ConfigActivated](list)) > 0 }
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
 	for i := 0; i <= fullMesh; i++ {
-		r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
+		r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
 	n := Update{Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
 	require.False(t, inForce(r.Reduce(20*time.Millisecond, n)))
@@ -115,7 +115,7 @@
 		r.Reduce(time.Millisecond, HeartbeatReceived{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: 1}})
 	}
 	for i := 0; i <= fullMesh; i++ {
-		r.meet(fmt.Sprintf("10.0.%d.1", 1+i), fmt.Sprintf("z%d", 1+i%3))
+		r.learnHost(fmt.Sprintf("10.0.%d.1", 1+i), fmt.Sprintf("z%d", 1+i%3))
 	}
 	require.Equal(t, 4*10, r.hosts())
 	r.Reduce(2*time.Millisecond, HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1,
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -79,7 +79,7 @@
 	}
 	if e.Outcome == Broken && r.now >= b.checkedUntil {
 		b.checkedUntil = r.now + confirmFor
-		r.emit(Probe{Backend: b.Backend, Keep: r.keep(b)})
+		r.emit(Probe{Backend: b.Backend, MaxIdleConns: r.keep(b)})
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 	r.emit(Note{What: "backend server ended with a request in hand", Subject: b.ID, Detail: run.digest.String() + " " + run.workspace})
 	r.noteBlame()
-	r.changed = true // others are told at once
+	r.heartbeatPending = true // others are told at once
 }
 
 // noteBlame tells the log which requests are in quarantine from now on, and which no longer are.
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -48,14 +48,14 @@
 
 // View gathers what operators see.
 func (r *Router) View() View {
-	v := View{Version: r.version(), Era: r.news.complete.Era, Digest: r.digest(), Ready: r.Ready(), Draining: r.drain != nil, Reading: r.news.reading,
-		StoreOK: !r.news.lost, StoreAge: -1, Requests: len(r.requests), Violations: r.inv.Total(), Now: r.now}
-	if r.news.heardAt > 0 {
-		v.StoreAge = r.now - r.news.heardAt
+	v := View{Version: r.version(), Era: r.updates.complete.Era, Digest: r.digest(), Ready: r.Ready(), Draining: r.drain != nil, Reading: r.updates.reading,
+		StoreOK: !r.updates.lost, StoreAge: -1, Requests: len(r.requests), Violations: r.invariants.Total(), Now: r.now}
+	if r.updates.heardAt > 0 {
+		v.StoreAge = r.now - r.updates.heardAt
 	}
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
-		v.Peers = append(v.Peers, PeerView{h, m.zone, !m.silent, r.now - m.heardAt})
+		v.Peers = append(v.Peers, PeerView{h, m.zone, !m.unreachable, r.now - m.lastSeen})
 	}
 	for _, b := range r.allBackends() {
 		v.Backends = append(v.Backends, BackendView{b.ID, b.Service, b.Zone, b.Addr, b.state(r.now), r.ownerOf(b),
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -217,7 +217,7 @@
 func (w *world) effect(h *worldHost, e Effect) {
 	switch e := e.(type) {
 	case SendHeartbeat:
-		w.mailTo(h, e.To, &gossippb.Packet{Beat: e.Beat})
+		w.mailTo(h, e.To, &gossippb.Packet{Beat: e.Heartbeat})
 	case Send:
 		w.mailTo(h, e.To, e.Packet)
 	case Pull:
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -139,7 +139,7 @@
 func (z *zone) effect(h *zoneHost, e Effect) {
 	switch e := e.(type) {
 	case SendHeartbeat:
-		z.send(h, e.To, &gossippb.Packet{Beat: e.Beat})
+		z.send(h, e.To, &gossippb.Packet{Beat: e.Heartbeat})
 	case Send:
 		z.send(h, e.To, e.Packet)
 	case ReadStore:
@@ -400,7 +400,7 @@
 		h.r.now = z.now - started
 		for _, other := range z.hosts {
 			if m := other.r.members.byHost[owner]; m != nil && m.incarnation == 99 && other != h {
-				m.bornAt = started
+				m.startedAt = started
 				other.r.owners.valid = false
 				require.NotContains(t, other.r.ownShards(), owner, "%s after its start, by %s", now-started, other.ip)
 			}
@@ -461,14 +461,14 @@
 	asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 	b := z.byIP[owner].r.byHash[offers[0].Place.Backend]
 	require.Equal(t, 1, b.inFlight())
-	require.Equal(t, 1000, b.others.unread)
+	require.Equal(t, 1000, b.others.prefillBacklog)
 	pass := func(list []Effect) {
 		for _, rep := range reportsOf(list) {
 			z.byIP[owner].r.Reduce(z.now, ReportReceived{asker.ip, rep})
 		}
 	}
 	pass(asker.r.Reduce(z.now, StreamStarted{ID: z.next, First: 20 * time.Millisecond}))
-	require.Zero(t, b.others.unread)
+	require.Zero(t, b.others.prefillBacklog)
 	require.Equal(t, 20*time.Microsecond, b.read)
 	pass(asker.r.Reduce(z.now, DispatchEnded{ID: z.next, Outcome: Answered, Interval: 12 * time.Millisecond, Events: 20}))
 	require.Zero(t, b.inFlight())
@@ -552,7 +552,7 @@
 	}
 	var beat *gossippb.Beat
 	for _, s := range effectsOf[SendHeartbeat](mate.r.Reduce(z.now+sharedMost, Tick{})) {
-		beat = s.Beat
+		beat = s.Heartbeat
 	}
 	run := func(name string, f func(i int)) {
 		b.Run(name, func(b *testing.B) {
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -79,15 +79,15 @@
 
 // zoneMates are the other hosts of this zone that are heard, in order. The list is shared; it is not to be changed.
 func (r *Router) zoneMates() []string {
-	if r.members.mates == nil {
-		r.members.mates = make([]string, 0, len(r.members.order))
+	if r.members.zonePeers == nil {
+		r.members.zonePeers = make([]string, 0, len(r.members.order))
 		for _, h := range r.members.order {
-			if m := r.members.byHost[h]; m.zone == r.opt.Zone && !m.silent {
-				r.members.mates = append(r.members.mates, h)
+			if m := r.members.byHost[h]; m.zone == r.opt.Zone && !m.unreachable {
+				r.members.zonePeers = append(r.members.zonePeers, h)
 			}
 		}
 	}
-	return r.members.mates
+	return r.members.zonePeers
 }
 
 // duty tells whether this host is among the first n of its zone for a purpose. Each host computes
@@ -122,7 +122,7 @@
 			continue
 		}
 		known++
-		if !m.silent {
+		if !m.unreachable {
 			heard++
 		}
 	}
@@ -218,7 +218,7 @@
 			continue
 		}
 		if all := b.carried(); all.total() > 0 {
-			out = append(out, all.message(b.hash))
+			out = append(out, all.toProto(b.hash))
 		}
 	}
 	return out
@@ -323,12 +323,12 @@
 		z.owners = s.Owners
 	}
 	if !s.WithoutLoads {
-		r.takeZoneLoads(s.Zone, loadsOf(s.Loads))
+		r.takeZoneLoads(s.Zone, loadsFromProto(s.Loads))
 	}
 	r.takeOwnersFailing(s.Failing)
 	for _, sp := range s.Spent {
 		if q, ok := r.quotas[sp.Workspace]; ok {
-			q.Heard(limit.Word{From: z.key(), Spent: float64(sp.Amount), Returned: returned, Young: time.Duration(s.AgeMs)*time.Millisecond <= youngFor})
+			q.Heard(limit.Word{From: z.key(), Spent: float64(sp.Amount), Returned: returned, Young: time.Duration(s.AgeMs)*time.Millisecond <= newHostDuration})
 		}
 	}
 	z.raw = nil
@@ -361,7 +361,7 @@
 		if m.zone != zone {
 			continue
 		}
-		if !m.silent && r.now-m.heardAt < cutAfter {
+		if !m.unreachable && r.now-m.lastSeen < cutAfter {
 			return false
 		}
 		known = true
@@ -393,7 +393,7 @@
 			z.stale = true
 			r.emit(Note{What: "zone silent", Subject: zone, Age: quiet})
 		}
-		if quiet > forgetAfter {
+		if quiet > hostTTL {
 			delete(r.zones.sums, zone)
 		}
 	}
@@ -410,5 +410,5 @@
 
 // saidDeadAt counts the hosts that cannot reach a backend server.
 func (r *Router) saidDeadAt(hash uint32) int {
-	return r.namedBy(hash, func(m *member) []uint32 { return m.dead })
+	return r.countReporting(hash, func(m *member) []uint32 { return m.deadBackends })
 }
