--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -169,8 +169,8 @@
 		slices.Sort(r.members.order)
 		r.membersChanged()
 		if r.direct(b.Zone) {
-			r.zones.peersAt = 0       // so that the others hear of it with the next beat
-			r.heartbeatPending = true // and it hears soon what there is to know
+			r.zones.peersAt = 0       // name the new host to the others in the next heartbeat
+			r.heartbeatPending = true // send the new host a heartbeat soon
 			r.emit(Note{What: "host joined", Subject: b.Host, Detail: b.Zone})
 		} else if r.now-m.startedAt <= newHostDuration {
 			// It may have no seed in its own zone: without this, the hosts of zones without seeds knew a few of
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -140,7 +140,7 @@
 	{"platform-types", "4", "platform/registration.go", "ok = ok && string(raw) != \"null\" && ", "ok = ok && ", platformUnit},
 	{"platform-fields", "4", "platform/registration.go", "	r.whole(\"seq-no\")\n", "", platformUnit},
 	{"router-first-read", "8", "internal/router/reading.go", "	if slices.Contains(r.opt.Seeds, r.opt.Host) {\n", "	if slices.Contains(r.opt.Seeds, \"\") {\n", routerTests},
-	{"router-newcomer", "8", "internal/router/members.go", "		r.heartbeatPending = true    // and", "		// and", routerTests},
+	{"router-newcomer", "8", "internal/router/members.go", "		r.heartbeatPending = true // send", "		// send", routerTests},
 	{"router-first-config", "8", "internal/router/news.go", "r.heartbeatPending = r.heartbeatPending || r.table == nil", "_ = r.table == nil", routerTests},
 	{"gateway-first-table", "8", "internal/gateway/gateway.go", "	case <-g.control.Configured():\n", "", []string{"./internal/gateway"}},
 	{"router-unread", "8", "internal/router/predict.go", "time.Duration(b.unread(s.r.now)+s.q.PromptTok)", "time.Duration(s.q.PromptTok)", routerTests},
