--- a/cmd/demo/platform.go
+++ b/cmd/demo/platform.go
@@ -54,7 +54,7 @@
 		}
 	}
 	fmt.Println("One engine breaks off in the middle of each first answer; reviews go on at the other.")
-	backends[0].Always(platformtest.BreaksOff)
+	backends[0].Always(platformtest.CutsAnswer)
 	d.sendPlatform(backends)
 	return d.platformStatus()
 }
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -77,7 +77,7 @@
 	// stops are planned stops under way, with their late callers.
 	stops sync.WaitGroup
 	// copied is what the store may come back from, and era how often it has; gone are the servers that have left for good.
-	copied *platformtest.Copy
+	copied *platformtest.Snapshot
 	era    uint64
 	gone   map[string]bool
 	// evacuated are the zones that the operator has evacuated.
@@ -309,20 +309,20 @@
 	case 13:
 		s.scribble()
 	case 14:
-		copied := s.store.Copy()
+		copied := s.store.Snapshot()
 		s.copied = &copied
 	case 15, 16:
 		s.comeBack()
 	case 17:
 		old := s.anyBackend()
 		s.backend(old.Service)
-		old.Leaves() // and its registration goes on saying that it is ready
+		old.AnnounceLeaving() // and its registration goes on saying that it is ready
 	case 18, 19:
 		s.evacuate([]string{"zone-a", "zone-b"}[s.rng.IntN(2)], time.Duration(200+s.rng.IntN(1500))*time.Millisecond)
 	case 20:
 		s.coldStart()
 	case 21:
-		s.anyBackend().Shed([]string{"0.3", "1.5", "soon"}[s.rng.IntN(3)])
+		s.anyBackend().ShedLoad([]string{"0.3", "1.5", "soon"}[s.rng.IntN(3)])
 	default:
 		s.store.SetFault(nil)
 		s.cure()
@@ -400,7 +400,7 @@
 }
 
 func (s *soak) misbehave() {
-	kind := platformtest.Behaviour(s.rng.IntN(int(platformtest.Early) + 1))
+	kind := platformtest.Behaviour(s.rng.IntN(int(platformtest.RefusesEarly) + 1))
 	share := s.rng.IntN(4)
 	var n atomic.Int64
 	b := s.anyBackend()
@@ -408,7 +408,7 @@
 		if int(n.Add(1))%4 <= share {
 			return kind
 		}
-		return platformtest.Sound
+		return platformtest.OK
 	})
 }
 
@@ -419,7 +419,7 @@
 }
 
 func (s *soak) storeFault() func(*http.Request) platformtest.Fault {
-	f := []platformtest.Fault{{Status: 503}, {Status: 429}, {Drop: true}, {Mute: true}, {Delay: 300 * time.Millisecond}}[s.rng.IntN(5)]
+	f := []platformtest.Fault{{Status: 503}, {Status: 429}, {Drop: true}, {Hang: true}, {Delay: 300 * time.Millisecond}}[s.rng.IntN(5)]
 	return func(*http.Request) platformtest.Fault { return f }
 }
 
@@ -484,7 +484,7 @@
 func (s *soak) coldStart() {
 	old := s.anyBackend()
 	b := s.backend(old.Service)
-	b.Cold(soakColdFor, soakColdRate)
+	b.StartCold(soakColdFor, soakColdRate)
 	reg := b.Registration("ready")
 	s.mu.Lock()
 	reg["address"] = s.linkOf[b.ID]
