--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -15,7 +15,7 @@
 	Healthy() bool
 	Ready() bool
 	Status() (core.Status, bool)
-	Explain(id string) ([]core.Hop, bool)
+	Explain(id string) ([]core.TraceEvent, bool)
 }
 
 // Handler serves
--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -7,98 +7,105 @@
 )
 
 const (
-	// pauseNoted is a gap between two events that is not held against the silence of other hosts. Ticks come
-	// every TickIdle at most; below, a busy machine may be the cause, and deaths would be noticed late for nothing.
-	pauseNoted = 200 * time.Millisecond
-	// pauseLong is a gap after which this host first hears the news. A shorter one adds so much to the age of what
-	// it dispatches on; with one twice as long and a lease of two seconds a leaving server gets work after its bound.
-	pauseLong = time.Second
-	// catchUpMost bounds the wait for news after a pause: callers wait in it, and a host that is cut off from all
-	// others and from the platform has to go on with what it knows. The platform's answer and a peer's take a
-	// round trip, and a quarter of a second more where a watch broke in the pause.
-	catchUpMost = time.Second
+	// minPause is the gap between two events from which on the gap is not counted as missed heartbeats of
+	// other hosts. Ticks come at least every IdleTickInterval. A shorter gap may be due to a busy machine,
+	// and excluding it would only delay the detection of dead hosts.
+	minPause = 200 * time.Millisecond
+	// minCatchUpPause is the gap from which on this host catches up before it acts. A shorter pause adds
+	// its length to the age of the state that the host dispatches on: with twice this value and a lease of
+	// 2 s, a leaving backend server got work after the allowed time.
+	minCatchUpPause = time.Second
+	// catchUpTimeout limits the catch-up, since callers wait for it and a host that is cut off from all
+	// others and from the platform has to continue with what it knows. The answers of the platform and of
+	// a peer take one round trip, and 250 ms more if a watch broke during the pause.
+	catchUpTimeout = time.Second
 )
 
-// catchUpState is what a host that has woken up from a long pause waits for.
+// catchUpState is what a host still waits for after a long pause of its process.
 //
-// It guards against a process that goes on with beliefs of before the pause. It showed as requests that a
-// leaving backend server got four seconds after its record: the first tick after the pause found all other hosts
-// silent, so the woken host scheduled their groups itself, by an old configuration and an empty book. It holds since,
-// until the news is in, such a host has no duties and grants nothing to itself, while the grant of another
-// host counts only if that host had heard from this one since it woke.
+// Without it a host would act on state from before the pause. This was seen as requests dispatched to a
+// leaving backend server four seconds after its record: the first tick after the pause found all other
+// hosts unreachable, so the host scheduled their groups itself, with an old configuration and no known
+// runs. Until the catch-up is complete, such a host has no roles and grants nothing to itself, and a grant
+// of another host counts only if that host has received a message from this one since the pause.
 type catchUpState struct {
-	wokeAt  time.Duration
-	peers   map[string]bool // who lived before the pause and has not answered since
-	records bool            // no peer lived: the platform's records are to be read anew
-	hosts   bool            // the host list is to be read anew
+	resumedAt time.Duration
+	peers     map[string]bool // hosts that were live before the pause and have not answered since
+	records   bool            // no peer was live: the records have to be read from the platform again
+	hosts     bool            // the host list has to be read again
 }
 
-// heard tells whether a reading of this host's clock that another echoes is of after the pause.
-func (s *catchUpState) heard(echoMS uint64) bool { return echoMS >= uint64(s.wokeAt/time.Millisecond) }
+// sentAfterPause reports whether an echoed reading of this host's clock is from after the pause.
+func (s *catchUpState) sentAfterPause(echoMS uint64) bool {
+	return echoMS >= uint64(s.resumedAt/time.Millisecond)
+}
 
-// noteGap looks at the time since the last event, before the next one is taken. Every event counts: after a
-// pause a message or a caller's request may come before the tick.
-func (c *Core) noteGap(now time.Duration) {
+// detectPause checks the time since the last event, before the next one is applied. It runs for every
+// event, since a message or a caller's request may come before the first tick after a pause.
+func (c *Core) detectPause(now time.Duration) {
 	gap := now - c.now
-	if c.now == 0 || gap < pauseNoted {
+	if c.now == 0 || gap < minPause {
 		return
 	}
-	c.view.Slept(gap)
-	if gap >= pauseLong {
+	c.view.ExcludePause(gap)
+	if gap >= minCatchUpPause {
 		c.now = now
-		c.wake()
+		c.beginCatchUp()
 	}
 }
 
-// wake gives all duties up and asks for the news.
-func (c *Core) wake() {
-	c.catch = catchUpState{wokeAt: c.now, peers: map[string]bool{}, hosts: true}
+// beginCatchUp gives up all roles and requests the current state from peers and the platform.
+func (c *Core) beginCatchUp() {
+	c.catchUp = catchUpState{resumedAt: c.now, peers: map[string]bool{}, hosts: true}
 	for _, id := range c.view.Live(c.now) {
 		if id != c.opt.Self.ID {
-			c.catch.peers[id] = true
+			c.catchUp.peers[id] = true
 		}
 	}
 	c.view.SetCatchingUp(true)
-	c.refreshDuties()
-	if len(c.catch.peers) == 0 {
-		c.catch.records = true
-		c.emit(ReadPlatform{}) // a watch that is open may have been answered before the pause
+	c.refreshRoles()
+	if len(c.catchUp.peers) == 0 {
+		c.catchUp.records = true
+		c.emit(ReadPlatform{}) // an open watch may have been answered before the pause
 		c.emit(ReadPlatform{On: true})
-		c.duty.reading = onDuty
+		c.roles.readMode = reading
 	}
 	c.emit(ReadHosts{})
 	c.sendHeartbeats()
 }
 
-// answerWoken tells a host that has woken up at once what is in force. A host that has itself just woken up proves nothing
-// by its answer, and two that asked each other for one would not stop.
-func (c *Core) answerWoken(from string, h *peerpb.Heartbeat) {
+// answerCatchingUp answers the heartbeat of a host that is catching up at once. A host that is itself
+// catching up does not answer: its state proves nothing, and two such hosts would answer each other
+// without end.
+func (c *Core) answerCatchingUp(from string, h *peerpb.Heartbeat) {
 	if h.CatchingUp && !c.view.CatchingUp() {
-		c.sendHeartbeat(from, c.ownSummaries(), c.heldBy(c.heldUnder(), from), c.ownSuspects())
+		c.sendHeartbeat(from, c.ownSummaries(), c.heldDigestsFor(c.heldDigests(), from), c.suspectsToReport())
 	}
 }
 
-// hearAfterWaking takes a heartbeat that was sent after this host woke up. One that waited in a socket through the pause
-// echoes an older reading, and one of a host that has itself just woken proves nothing.
-func (c *Core) hearAfterWaking(from string, h *peerpb.Heartbeat) {
-	fresh := h.EchoIncarnation == c.opt.Incarnation && c.catch.heard(h.EchoMs)
+// catchUpFromHeartbeat applies a heartbeat that was sent after this host's pause. A heartbeat that waited
+// in a socket during the pause echoes an older clock reading; one from a host that is itself catching up
+// proves nothing.
+func (c *Core) catchUpFromHeartbeat(from string, h *peerpb.Heartbeat) {
+	fresh := h.EchoIncarnation == c.opt.Incarnation && c.catchUp.sentAfterPause(h.EchoMs)
 	if !c.view.CatchingUp() || !fresh || h.CatchingUp || h.ConfigRevision > c.conf.Revision() {
 		return
 	}
-	delete(c.catch.peers, from)
+	delete(c.catchUp.peers, from)
 	c.tickCatchUp()
 }
 
-// tickCatchUp takes duties again once the news is in, or has been waited for long enough.
+// tickCatchUp ends the catch-up once it is complete or catchUpTimeout has passed; the host then takes
+// roles again.
 func (c *Core) tickCatchUp() {
 	if !c.view.CatchingUp() {
 		return
 	}
-	waits := len(c.catch.peers) > 0 || c.catch.records || c.catch.hosts
-	if waits && c.now-c.catch.wokeAt < catchUpMost {
+	waits := len(c.catchUp.peers) > 0 || c.catchUp.records || c.catchUp.hosts
+	if waits && c.now-c.catchUp.resumedAt < catchUpTimeout {
 		return
 	}
 	c.view.SetCatchingUp(false)
-	c.refreshDuties()
+	c.refreshRoles()
 	c.sendHeartbeats()
 }
--- a/internal/core/claim.go
+++ b/internal/core/claim.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// claimAgainAfter repeats an unanswered claim; claimTimeout gives it up.
-	claimAgainAfter = 300 * time.Millisecond
-	claimTimeout    = 2 * time.Second
+	// claimRetryInterval repeats an unanswered claim; claimTimeout gives it up.
+	claimRetryInterval = 300 * time.Millisecond
+	claimTimeout       = 2 * time.Second
 )
 
-// holder names one try of one caller: a second try has another request id.
-func (c *Core) holder(r *request) string { return c.opt.Self.ID + "/" + r.ID }
+// claimHolder names one try of one caller: a second try has another request id.
+func (c *Core) claimHolder(r *request) string { return c.opt.Self.ID + "/" + r.ID }
 
 // claim asks the ticket's home for the one permission to run. Nothing is dispatched without it.
 func (c *Core) claim(r *request) {
 	r.phase = claiming
-	r.since = c.now
+	r.requestedAt = c.now
 	if r.Ticket.Home == c.opt.Self.ID {
-		c.claimed(r, c.tickets.Claim(c.now, *r.Ticket, r.Workspace, c.holder(r)))
+		c.claimDecided(r, c.tickets.Claim(c.now, *r.Ticket, r.Workspace, c.claimHolder(r)))
 		return
 	}
 	if !c.sendClaim(r) {
 		c.finish(r, fault.New(fault.TicketHomeGone, "host %s is unknown here", r.Ticket.Home))
 		return
 	}
-	c.wakeAt(r, c.now+claimAgainAfter)
+	c.setTimer(r, c.now+claimRetryInterval)
 }
 
 func (c *Core) sendClaim(r *request) bool {
@@ -37,13 +37,13 @@
 		Ticket: r.Ticket.String(), Workspace: r.Workspace, Request: r.ID}}})
 }
 
-func (c *Core) claimAgain(r *request) {
-	if c.now-r.since >= claimTimeout {
+func (c *Core) retryClaim(r *request) {
+	if c.now-r.requestedAt >= claimTimeout {
 		c.finish(r, fault.New(fault.TicketHomeGone, "host %s does not answer", r.Ticket.Home))
 		return
 	}
 	c.sendClaim(r)
-	c.wakeAt(r, c.now+claimAgainAfter)
+	c.setTimer(r, c.now+claimRetryInterval)
 }
 
 // claimTicket answers as a home.
@@ -61,14 +61,14 @@
 	if !ok || r.phase != claiming || r.Ticket.Home != from {
 		return
 	}
-	c.claimed(r, ticket.Verdict(m.Claim))
+	c.claimDecided(r, ticket.Verdict(m.Claim))
 }
 
-func (c *Core) claimed(r *request, v ticket.Verdict) {
+func (c *Core) claimDecided(r *request, v ticket.Verdict) {
 	switch v {
-	case ticket.Yours:
+	case ticket.Granted:
 		c.trace(r, "holds its ticket")
-		c.seek(r)
+		c.requestSlot(r)
 	case ticket.InProgress:
 		c.finish(r, fault.New(fault.TicketInProgress, "an earlier try holds the ticket"))
 	case ticket.Done:
@@ -80,10 +80,10 @@
 	}
 }
 
-// settle tells the home how a claim ended.
-func (c *Core) settle(r *request, notRun bool) {
+// sendSettlement tells the home how a claim ended.
+func (c *Core) sendSettlement(r *request, notRun bool) {
 	if r.Ticket.Home == c.opt.Self.ID {
-		c.tickets.Settle(*r.Ticket, r.Workspace, c.holder(r), notRun)
+		c.tickets.Settle(*r.Ticket, r.Workspace, c.claimHolder(r), notRun)
 		return
 	}
 	c.send(r.Ticket.Home, &peerpb.Message{Body: &peerpb.Message_SettleTicket{SettleTicket: &peerpb.SettleTicket{
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -9,45 +9,46 @@
 )
 
 const (
-	// fullPullEvery bounds repairs by a full copy: two software versions may differ for a whole roll.
-	fullPullEvery = 5 * time.Second
-	pullEvery     = 200 * time.Millisecond
-	// platformAway is how long the configuration service must fail to count as away.
-	platformAway = 3 * time.Second
-	// Bounds of one Records message.
-	recordsPerMessage = 256
-	bytesPerMessage   = 512 << 10
+	// fullPullInterval limits how often a full copy is pulled: two software versions may refuse different
+	// records, and so have different digests, for the duration of a rollout.
+	fullPullInterval = 5 * time.Second
+	pullInterval     = 200 * time.Millisecond
+	// platformDownAfter is how long reads of the configuration service must fail until it counts as down.
+	platformDownAfter = 3 * time.Second
+	// Limits of one Records message.
+	maxRecordsPerMessage = 256
+	maxBytesPerMessage   = 512 << 10
 )
 
-// gossipState is what this host knows of configuration and load elsewhere.
+// gossipState is what this host knows of the configuration and of the load in other zones.
 type gossipState struct {
-	synced        bool
-	failingSince  time.Duration
-	failing       bool
-	readOK        time.Duration // latest good read of the platform
-	everRead      bool
-	readElsewhere time.Duration // latest time a live host said it reads the platform
-	pulledAt      time.Duration
-	fullPulledAt  time.Duration
-	beatAt        time.Duration
-	digestAt      time.Duration
-	digestEvery   time.Duration
-	zones         map[string]*zoneState
+	synced         bool
+	failingSince   time.Duration
+	failing        bool
+	platformReadAt time.Duration // latest successful read of the platform
+	platformRead   bool
+	peerReadAt     time.Duration // latest time that a live host reported that it reads the platform
+	pulledAt       time.Duration
+	fullPulledAt   time.Duration
+	heartbeatAt    time.Duration
+	digestAt       time.Duration
+	digestInterval time.Duration
+	zones          map[string]*zoneState
 }
 
 func newGossipState() gossipState {
-	return gossipState{zones: map[string]*zoneState{}, digestEvery: digestLeast, pulledAt: -pullEvery, fullPulledAt: -fullPullEvery}
+	return gossipState{zones: map[string]*zoneState{}, digestInterval: minDigestInterval, pulledAt: -pullInterval, fullPulledAt: -fullPullInterval}
 }
 
 func (c *Core) platformRecords(e PlatformRecords) {
 	c.gossip.failing = false
-	c.gossip.readOK, c.gossip.everRead = c.now, true
-	c.accept(e.Records, true)
+	c.gossip.platformReadAt, c.gossip.platformRead = c.now, true
+	c.applyRecords(e.Records, true)
 	if e.Current && c.conf.Revision() > 0 {
 		c.gossip.synced = true
 	}
 	if e.Current {
-		c.catch.records = false
+		c.catchUp.records = false
 		c.tickCatchUp()
 	}
 }
@@ -56,13 +57,14 @@
 	if !c.gossip.failing {
 		c.gossip.failing, c.gossip.failingSince = true, c.now
 	}
-	if c.now-c.gossip.failingSince >= platformAway && c.conf.Revision() > 0 {
+	if c.now-c.gossip.failingSince >= platformDownAfter && c.conf.Revision() > 0 {
 		c.gossip.synced = true
 	}
 }
 
-// accept takes records from anywhere. What came from the platform is passed on in the zone.
-func (c *Core) accept(raws []record.Raw, fromPlatform bool) {
+// applyRecords applies records from any source. Records that were read from the platform are forwarded to
+// the zone peers.
+func (c *Core) applyRecords(raws []record.Raw, fromPlatform bool) {
 	before := c.conf.Revision()
 	fresh := c.conf.Apply(raws)
 	c.inv.Check(c.conf.Revision() >= before, "configuration went back from revision %d to %d", before, c.conf.Revision())
@@ -70,12 +72,12 @@
 		return
 	}
 	if fromPlatform {
-		for _, h := range c.view.Zone() {
+		for _, h := range c.view.ZonePeers() {
 			c.sendRecords(h.ID, fresh)
 		}
 	}
 	c.emit(ConfigChanged{})
-	c.refreshDuties()
+	c.refreshRoles()
 }
 
 func (c *Core) sendRecords(to string, raws []record.Raw) {
@@ -90,7 +92,7 @@
 	for _, r := range raws {
 		batch.Records = append(batch.Records, toPeerRecord(r))
 		size += len(r.Body)
-		if len(batch.Records) >= recordsPerMessage || size >= bytesPerMessage {
+		if len(batch.Records) >= maxRecordsPerMessage || size >= maxBytesPerMessage {
 			flush()
 		}
 	}
@@ -112,23 +114,23 @@
 	for i, r := range m.Records {
 		raws[i] = fromPeerRecord(r)
 	}
-	c.accept(raws, false)
+	c.applyRecords(raws, false)
 }
 
 func (c *Core) recordsPull(from string, m *peerpb.RecordsPull) {
 	c.sendRecords(from, c.conf.After(m.After))
 }
 
-// compareConfig asks a peer for what it has and we lack. Digests differ also when the peer is
-// behind, or holds a record that we refuse; a full copy is asked for rarely, and only when no
-// higher revision explains the difference.
-func (c *Core) compareConfig(from string, revision, digest uint64) {
-	if digest == c.conf.Digest() || c.now-c.gossip.pulledAt < pullEvery {
+// reconcileConfig pulls the records that a peer has and this host lacks. Digests also differ if the peer
+// is behind, or holds a record that this host refuses; a full copy is pulled only if no higher revision
+// explains the difference, and at most once per fullPullInterval.
+func (c *Core) reconcileConfig(from string, revision, digest uint64) {
+	if digest == c.conf.Digest() || c.now-c.gossip.pulledAt < pullInterval {
 		return
 	}
 	after := c.conf.Revision()
 	if revision <= after {
-		if revision < after || c.now-c.gossip.fullPulledAt < fullPullEvery {
+		if revision < after || c.now-c.gossip.fullPulledAt < fullPullInterval {
 			return
 		}
 		after = 0
@@ -138,15 +140,15 @@
 	c.send(from, &peerpb.Message{Body: &peerpb.Message_RecordsPull{RecordsPull: &peerpb.RecordsPull{After: after}}})
 }
 
-// syncedByPeer takes a peer's word that its configuration is current when ours is the same.
-func (c *Core) syncedByPeer(h *peerpb.Heartbeat) {
+// markSyncedByPeer marks this host as synced if a synced peer has the same configuration.
+func (c *Core) markSyncedByPeer(h *peerpb.Heartbeat) {
 	if h.Synced && c.conf.Revision() > 0 && h.ConfigDigest == c.conf.Digest() {
 		c.gossip.synced = true
 	}
 }
 
-// hostList takes the platform's list of hosts. It lags, so it only adds knowledge: who may exist,
-// and which backend servers are leaving.
+// hostList applies the platform's list of hosts. The list lags, so it only adds hosts that may exist and
+// marks backend servers as leaving.
 func (c *Core) hostList(e HostList) {
 	var entry []member.Host
 	c.leaving = map[string]bool{}
@@ -160,7 +162,7 @@
 		}
 	}
 	c.view.SetList(entry)
-	c.refreshDuties()
-	c.catch.hosts = false
+	c.refreshRoles()
+	c.catchUp.hosts = false
 	c.tickCatchUp()
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,10 @@
-// Package core is the one reducer of a host: every event goes in, effects come out as data.
-// There is no I/O, clock, goroutine or unseeded choice inside, so any failure replays in a test.
-// One file is one concern: config, duty (membership and duties), catchup (what a process may do after a pause),
-// entry (requests that this host took), group (groups that this host schedules), claim (tickets).
+// Package core is the reducer of a host: events go in, effects come out as data. It has no I/O, clock,
+// goroutine or unseeded randomness, so that any failure can be replayed in a test.
+//
+// Each file covers one concern: config (configuration records), roles (roles that follow from membership),
+// catchup (recovery after a pause of the process), entry, slots and timers (requests that this host
+// accepted), group (groups that this host schedules), digest (exchange between zones), claim (tickets),
+// suspects (requests in quarantine).
 package core
 
 import (
@@ -16,14 +19,14 @@
 	"fireflyshift/internal/ticket"
 )
 
-// The daemon sends Tick every TickEvery while something waits, and every TickIdle otherwise: each
-// tick wakes a thread, which is most of what an idle host costs.
+// The daemon sends Tick every TickInterval while something waits, and every IdleTickInterval otherwise:
+// each tick wakes a thread, which is most of the CPU cost of an idle host.
 const (
-	TickEvery = 10 * time.Millisecond
-	TickIdle  = 50 * time.Millisecond
+	TickInterval     = 10 * time.Millisecond
+	IdleTickInterval = 50 * time.Millisecond
 )
 
-// GroupKey names a group of backend servers in this host's availability zone.
+// GroupKey identifies a group of backend servers in this host's availability zone.
 type GroupKey struct {
 	Service string
 	Shard   uint32
@@ -34,38 +37,38 @@
 	Self        member.Host
 	Incarnation uint64
 	Sched       sched.Options
-	// MaxRequests bounds the requests that this host holds at once.
+	// MaxRequests is the maximum number of requests that this host holds at a time.
 	MaxRequests int
 }
 
-// Core is the state of one host. Only one goroutine may use it.
+// Core is the state of one host. It is not safe for concurrent use.
 type Core struct {
-	opt      Options
-	now      time.Duration
-	conf     *confstate.State
-	view     *member.View
-	tickets  *ticket.Home
-	inv      invariant.Log
-	out      []Effect
-	loop     []*peerpb.Message // messages from this host to itself
-	duty     dutyState
-	gossip   gossipState
-	entry    entryState
-	catch    catchUpState
-	groups   map[GroupKey]*sched.Group
-	leaving  map[string]bool // addresses of backend servers that the host list shows leaving
-	suspects suspectState
-	drain    bool
+	opt          Options
+	now          time.Duration
+	conf         *confstate.State
+	view         *member.View
+	tickets      *ticket.Home
+	inv          invariant.Log
+	out          []Effect
+	selfMessages []*peerpb.Message // messages from this host to itself
+	roles        roleState
+	gossip       gossipState
+	entry        entryState
+	catchUp      catchUpState
+	groups       map[GroupKey]*sched.Group
+	leaving      map[string]bool // addresses of backend servers that the host list shows as leaving
+	suspects     suspectState
+	drain        bool
 }
 
-// New returns a reducer in its first state: no configuration, no peers.
+// New returns a reducer without configuration or peers.
 func New(opt Options) *Core {
 	return &Core{
 		opt:      opt,
 		conf:     confstate.New(),
 		view:     member.NewView(opt.Self),
 		tickets:  ticket.NewHome(opt.Self.ID, opt.Incarnation),
-		duty:     newDutyState(),
+		roles:    newRoleState(),
 		gossip:   newGossipState(),
 		entry:    newEntryState(),
 		groups:   map[GroupKey]*sched.Group{},
@@ -74,10 +77,11 @@
 	}
 }
 
-// Reduce takes one event at a moment of the host's clock, which counts suspended time too, and returns the work to do.
-// A moment before an earlier one counts as that earlier one.
+// Reduce applies one event at the given time of the host's clock, which includes suspended time, and
+// returns the effects to carry out. A time before that of an earlier event is treated as that earlier
+// time.
 func (c *Core) Reduce(now time.Duration, ev Event) []Effect {
-	c.noteGap(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
 	c.apply(ev)
 	c.deliverLocal()
@@ -92,18 +96,18 @@
 		c.tick()
 	case Submit:
 		c.submit(e)
-	case Gone:
-		c.gone(e.ID)
+	case CallerGone:
+		c.callerGone(e.ID)
 	case Ended:
 		c.ended(e)
 	case PeerMessage:
-		c.fromPeer(e)
+		c.receive(e)
 	case PeerLinked:
-		c.view.Learn(c.now, e.Host, e.Incarnation)
+		c.view.Linked(c.now, e.Host, e.Incarnation)
 	case PeerUnlinked:
 		c.view.Unlinked(c.now, e.Host, e.Incarnation)
 	case LinkOpened:
-		c.askAgain(e.Host)
+		c.resendAcquires(e.Host)
 	case PlatformRecords:
 		c.platformRecords(e)
 	case PlatformFailed:
@@ -111,13 +115,13 @@
 	case HostList:
 		c.hostList(e)
 	case LoadReport:
-		c.eachGroupOf(e.Backend, func(g *sched.Group) { g.Report(e.Backend, e.Outstanding) })
+		c.eachGroupOf(e.Backend, func(g *sched.Group) { g.ReportLoad(e.Backend, e.Outstanding) })
 	case CacheEvicted:
-		c.eachGroupOf(e.Backend, func(g *sched.Group) { g.Evicted(e.Backend, e.Hashes) })
+		c.eachGroupOf(e.Backend, func(g *sched.Group) { g.CacheEvicted(e.Backend, e.Hashes) })
 	case Drain:
 		c.beginDrain()
 	case Stop:
-		c.endRequests()
+		c.finishAll()
 		c.beginDrain()
 	}
 }
@@ -128,22 +132,22 @@
 	}
 	c.drain = true
 	c.view.SetDraining()
-	c.refreshDuties()
+	c.refreshRoles()
 	c.sendHeartbeats()
 }
 
 func (c *Core) tick() {
 	c.tickCatchUp()
-	c.tickDuties()
+	c.tickRoles()
 	c.tickGossip()
 	c.tickGroups()
 	c.tickEntry()
 	c.expireSuspects()
 }
 
-// fromPeer drops messages of a host that is not the current incarnation: a process that was
-// replaced while it was paused still has open links, and what it sends is of the past.
-func (c *Core) fromPeer(e PeerMessage) {
+// receive drops messages of a host that do not come from its current incarnation: a process that was
+// replaced while it was paused still has open links, and its messages are out of date.
+func (c *Core) receive(e PeerMessage) {
 	if e.From != c.opt.Self.ID && e.Incarnation != c.view.Incarnation(e.From) {
 		return
 	}
@@ -185,38 +189,38 @@
 	}
 }
 
-// deliverLocal handles the messages that this host sent itself, in order.
+// deliverLocal handles the messages that this host has sent to itself, in order.
 func (c *Core) deliverLocal() {
-	for len(c.loop) > 0 {
-		m := c.loop[0]
-		c.loop = c.loop[1:]
+	for len(c.selfMessages) > 0 {
+		m := c.selfMessages[0]
+		c.selfMessages = c.selfMessages[1:]
 		c.handle(c.opt.Self.ID, m)
 	}
-	c.loop = nil
+	c.selfMessages = nil
 }
 
-// NextTick is how long the daemon may wait until it sends the next Tick.
+// NextTick returns how long the daemon may wait before it sends the next Tick.
 func (c *Core) NextTick() time.Duration {
-	if c.entry.wakes.Len() > 0 && c.entry.wakes.Min().wake-c.now < TickIdle {
-		return TickEvery
+	if c.entry.timers.Len() > 0 && c.entry.timers.Min().timerAt-c.now < IdleTickInterval {
+		return TickInterval
 	}
 	for _, g := range c.groups {
 		if g.Busy() {
-			return TickEvery
+			return TickInterval
 		}
 	}
-	return TickIdle
+	return IdleTickInterval
 }
 
 func (c *Core) emit(e Effect) { c.out = append(c.out, e) }
 
-// send passes a message to a host, which may be this one. It reports whether the host is known.
+// send sends a message to a host, which may be this one. It reports whether the host is known.
 func (c *Core) send(to string, m *peerpb.Message) bool {
 	if to == c.opt.Self.ID {
-		c.loop = append(c.loop, m)
+		c.selfMessages = append(c.selfMessages, m)
 		return true
 	}
-	h, ok := c.view.Known(to)
+	h, ok := c.view.Lookup(to)
 	if !ok || h.Addr == "" {
 		return false
 	}
@@ -226,20 +230,20 @@
 
 func (c *Core) nowMS() uint64 { return uint64(c.now / time.Millisecond) }
 
-// Config is the configuration in force. Use it on the control thread only.
+// Config returns the configuration in force. It may be used on the control goroutine only.
 func (c *Core) Config() *confstate.State { return c.conf }
 
-// Violations takes the invariant violations since the last call.
+// Violations returns the invariant violations since the last call.
 func (c *Core) Violations() []string { return c.inv.Take() }
 
-// Ready tells whether the balancer should send callers here: the configuration is proved current
-// or the platform proved away, and the host is not shutting down.
+// Ready reports whether the load balancer should send requests to this host: the configuration is known to
+// be current, or the configuration service is known to be down, and the host is not shutting down.
 func (c *Core) Ready() bool { return c.gossip.synced && !c.drain }
 
-// Requests is how many callers' requests this host holds.
+// Requests returns the number of callers' requests that this host holds.
 func (c *Core) Requests() int { return len(c.entry.requests) }
 
-// usable finds a backend server that may get new work from this host: in force and not leaving.
+// usable looks up a backend server that may get new work from this host: it is in force and not leaving.
 func (c *Core) usable(name string) (record.Backend, bool) {
 	b := c.conf.Backend(name)
 	if b == nil || b.Leaving || c.leaving[b.Addr] {
--- a/internal/core/digest.go
+++ b/internal/core/digest.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// delegates is how many hosts of a zone speak to each other zone.
-	delegates = 2
+	// zoneReporters is how many hosts of a zone speak to each other zone.
+	zoneReporters = 2
 	// Zones tell each other of their load and configuration less often the more there are, so that
 	// the bytes per host stay level.
-	digestPerZone = 200 * time.Millisecond
-	digestLeast   = 500 * time.Millisecond
-	digestMost    = 2 * time.Second
-	// digestStale is when another zone's word no longer counts.
-	digestStale = 3 * digestMost
+	digestIntervalPerZone = 200 * time.Millisecond
+	minDigestInterval     = 500 * time.Millisecond
+	maxDigestInterval     = 2 * time.Second
+	// digestTTL is when another zone's word no longer counts.
+	digestTTL = 3 * maxDigestInterval
 )
 
 // zoneState is the latest word of another zone.
@@ -31,10 +31,10 @@
 // hosts there that change with time, so that a dead one costs one beat.
 func (c *Core) sendDigests() {
 	zones := c.view.OtherZones()
-	c.gossip.digestEvery = min(max(time.Duration(len(zones))*digestPerZone, digestLeast), digestMost)
+	c.gossip.digestInterval = min(max(time.Duration(len(zones))*digestIntervalPerZone, minDigestInterval), maxDigestInterval)
 	groups, suspects := c.zoneSummaries(), c.suspects.ledger.ForZones(c.now)
 	for _, zone := range zones {
-		if !slices.Contains(member.Top("delegate/"+zone, c.duty.live, delegates), c.opt.Self.ID) {
+		if !slices.Contains(member.Top("delegate/"+zone, c.roles.live, zoneReporters), c.opt.Self.ID) {
 			continue
 		}
 		digest := &peerpb.ZoneDigest{Zone: c.opt.Self.Zone, Sequence: c.nowMS(), Origin: c.opt.Self.ID,
@@ -50,8 +50,8 @@
 	for _, h := range c.view.InZone(zone) {
 		ids = append(ids, h.ID)
 	}
-	turn := uint64(c.now / c.gossip.digestEvery)
-	return member.Top(fmt.Sprintf("digest/%s/%d", c.opt.Self.ID, turn), ids, delegates)
+	turn := uint64(c.now / c.gossip.digestInterval)
+	return member.Top(fmt.Sprintf("digest/%s/%d", c.opt.Self.ID, turn), ids, zoneReporters)
 }
 
 // zoneSummaries gives one row a service: the group with the most room speaks for the zone.
@@ -67,14 +67,14 @@
 	for _, s := range c.ownSummaries() {
 		consider(s, c.opt.Self.ID)
 	}
-	keys := make([]GroupKey, 0, len(c.duty.summary))
-	for k := range c.duty.summary {
+	keys := make([]GroupKey, 0, len(c.roles.summaries))
+	for k := range c.roles.summaries {
 		keys = append(keys, k)
 	}
 	sortGroupKeys(keys)
 	for _, k := range keys {
-		row := c.duty.summary[k]
-		if c.now-row.at <= digestStale && row.Scheduler == c.duty.owners[k] {
+		row := c.roles.summaries[k]
+		if c.now-row.at <= digestTTL && row.Scheduler == c.roles.schedulers[k] {
 			consider(row.ServiceSummary, row.Scheduler)
 		}
 	}
@@ -96,7 +96,7 @@
 		return
 	}
 	old, ok := c.gossip.zones[d.Zone]
-	if ok && old.digest.Origin == d.Origin && d.Sequence <= old.digest.Sequence && c.now-old.at < digestStale {
+	if ok && old.digest.Origin == d.Origin && d.Sequence <= old.digest.Sequence && c.now-old.at < digestTTL {
 		return
 	}
 	c.gossip.zones[d.Zone] = &zoneState{d, c.now}
@@ -104,13 +104,13 @@
 	if d.Relayed {
 		return
 	}
-	c.compareConfig(from, d.ConfigRevision, d.ConfigDigest)
-	if ok && c.now-old.at < c.gossip.digestEvery/2 {
+	c.reconcileConfig(from, d.ConfigRevision, d.ConfigDigest)
+	if ok && c.now-old.at < c.gossip.digestInterval/2 {
 		return // another host has just relayed this zone's word
 	}
 	relay := &peerpb.ZoneDigest{Zone: d.Zone, Sequence: d.Sequence, Origin: d.Origin, Groups: d.Groups,
 		ConfigRevision: d.ConfigRevision, ConfigDigest: d.ConfigDigest, Suspects: d.Suspects, Relayed: true}
-	for _, h := range c.view.Zone() {
+	for _, h := range c.view.ZonePeers() {
 		c.send(h.ID, &peerpb.Message{Body: &peerpb.Message_ZoneDigest{ZoneDigest: relay}})
 	}
 }
--- a/internal/core/duty.go
+++ b/internal/core/duty.go
@@ -13,60 +13,62 @@
 )
 
 const (
-	// maxGroup is the most backend servers in one group: one scheduler hears them all.
-	maxGroup = 32
-	// readersPerZone is how many hosts of a zone watch the configuration service.
+	// maxGroupSize is the maximum number of backend servers per group: one scheduler handles the messages
+	// of all of them.
+	maxGroupSize = 32
+	// readersPerZone is the number of hosts per zone that watch the configuration service.
 	readersPerZone = 2
-	// liveEvery is how often deaths are looked for.
-	liveEvery = 50 * time.Millisecond
-	// readersSilent is when a host reads the platform itself, since no live host has said for so
-	// many heartbeats that it does.
-	readersSilent = 5
-	forgetEvery   = time.Second
-	// auditTurn is how long each host of a zone in turn watches the platform besides its readers.
-	auditTurn = 4 * time.Second
+	// livenessInterval is how often the set of live hosts is checked for changes.
+	livenessInterval = 50 * time.Millisecond
+	// readerTimeoutHeartbeats is the number of heartbeat intervals after which a host reads the platform
+	// itself if no live host has reported that it does.
+	readerTimeoutHeartbeats = 5
+	forgetInterval          = time.Second
+	// auditDuration is how long each host of a zone in turn watches the platform, in addition to the
+	// zone's readers.
+	auditDuration = 4 * time.Second
 )
 
-// dutyState is what this host computes from its membership view.
-type dutyState struct {
-	live     []string
-	liveAt   time.Duration
-	forgotAt time.Duration
-	shards   map[string]uint32     // shards of each service with backend servers in this zone
-	owners   map[GroupKey]string   // scheduler of each group of this zone
-	summary  map[GroupKey]groupRow // what schedulers of this zone tell
-	groupOf  map[string]GroupKey   // group of each backend server of this zone
-	reading  readingMode
+// roleState is what this host derives from its membership view.
+type roleState struct {
+	live       []string
+	livenessAt time.Duration
+	forgotAt   time.Duration
+	shards     map[string]uint32         // number of shards of each service with backend servers in this zone
+	schedulers map[GroupKey]string       // scheduler of each group of this zone
+	summaries  map[GroupKey]groupSummary // latest summaries from the schedulers of this zone
+	groupOf    map[string]GroupKey       // group of each backend server of this zone
+	readMode   readMode
 }
 
-// groupRow is a scheduler's latest summary of a group.
-type groupRow struct {
+// groupSummary is the latest summary of a group, with the time at which it was received.
+type groupSummary struct {
 	*peerpb.ServiceSummary
 	at time.Duration
 }
 
-func newDutyState() dutyState {
-	return dutyState{shards: map[string]uint32{}, owners: map[GroupKey]string{}, summary: map[GroupKey]groupRow{}}
+func newRoleState() roleState {
+	return roleState{shards: map[string]uint32{}, schedulers: map[GroupKey]string{}, summaries: map[GroupKey]groupSummary{}}
 }
 
-func (c *Core) tickDuties() {
-	if c.now-c.duty.liveAt >= liveEvery {
-		c.duty.liveAt = c.now
-		if live := c.view.Live(c.now); !slices.Equal(live, c.duty.live) {
-			c.refreshDuties()
+func (c *Core) tickRoles() {
+	if c.now-c.roles.livenessAt >= livenessInterval {
+		c.roles.livenessAt = c.now
+		if live := c.view.Live(c.now); !slices.Equal(live, c.roles.live) {
+			c.refreshRoles()
 		}
-		c.refreshReading()
+		c.refreshReadMode()
 	}
-	if c.now-c.duty.forgotAt >= forgetEvery {
-		c.duty.forgotAt = c.now
-		c.view.Forget(c.now)
+	if c.now-c.roles.forgotAt >= forgetInterval {
+		c.roles.forgotAt = c.now
+		c.view.DropStale(c.now)
 	}
 }
 
-// refreshDuties computes again which host schedules which group.
-func (c *Core) refreshDuties() {
-	before := c.duty.live
-	c.duty.live = c.view.Live(c.now)
+// refreshRoles recomputes which host schedules which group and which hosts read the platform.
+func (c *Core) refreshRoles() {
+	before := c.roles.live
+	c.roles.live = c.view.Live(c.now)
 	specs := c.zoneBackends()
 	c.countShards(specs)
 	changed := c.reassign()
@@ -76,15 +78,15 @@
 			c.hostLost(id)
 		}
 	}
-	c.regroup()
+	c.updateTargets()
 	for _, k := range changed {
-		c.ownerChanged(k)
+		c.schedulerChanged(k)
 	}
-	c.refreshReading()
+	c.refreshReadMode()
 }
 
-// zoneBackends lists the backend servers of this zone by service, with the host list's word on
-// leaving taken in.
+// zoneBackends lists the backend servers of this zone by service. Servers that the host list shows as
+// leaving are marked so.
 func (c *Core) zoneBackends() map[string][]record.Backend {
 	out := map[string][]record.Backend{}
 	for _, b := range c.conf.Backends() {
@@ -99,34 +101,34 @@
 }
 
 func (c *Core) countShards(specs map[string][]record.Backend) {
-	c.duty.shards = map[string]uint32{}
-	c.duty.groupOf = map[string]GroupKey{}
+	c.roles.shards = map[string]uint32{}
+	c.roles.groupOf = map[string]GroupKey{}
 	for service, list := range specs {
-		n := uint32((len(list) + maxGroup - 1) / maxGroup)
-		c.duty.shards[service] = n
+		n := uint32((len(list) + maxGroupSize - 1) / maxGroupSize)
+		c.roles.shards[service] = n
 		for i, b := range list {
-			c.duty.groupOf[b.Name] = GroupKey{service, shardOf(i, n)}
+			c.roles.groupOf[b.Name] = GroupKey{service, shardOf(i, n)}
 		}
 	}
 }
 
-// shardOf deals a service's servers, sorted by name, into equal groups.
+// shardOf distributes the servers of a service, sorted by name, over shards of equal size.
 func shardOf(index int, shards uint32) uint32 { return uint32(index) % shards }
 
-// reassign computes the schedulers and returns the groups whose scheduler changed, in order.
+// reassign computes the scheduler of each group. It returns the groups whose scheduler changed, sorted.
 func (c *Core) reassign() []GroupKey {
 	owners := map[GroupKey]string{}
 	var changed []GroupKey
-	for service, n := range c.duty.shards {
+	for service, n := range c.roles.shards {
 		for shard := uint32(0); shard < n; shard++ {
 			k := GroupKey{service, shard}
-			owners[k] = member.Owner(fmt.Sprintf("sched/%s/%d", service, shard), c.duty.live)
-			if owners[k] != c.duty.owners[k] {
+			owners[k] = member.Owner(fmt.Sprintf("sched/%s/%d", service, shard), c.roles.live)
+			if owners[k] != c.roles.schedulers[k] {
 				changed = append(changed, k)
 			}
 		}
 	}
-	c.duty.owners = owners
+	c.roles.schedulers = owners
 	sortGroupKeys(changed)
 	return changed
 }
@@ -143,16 +145,16 @@
 	})
 }
 
-// refreshGroups starts, updates and gives up the groups that this host schedules.
+// refreshGroups creates, updates and dissolves the groups that this host schedules.
 func (c *Core) refreshGroups(specs map[string][]record.Backend) {
 	for _, k := range c.groupKeys() {
-		if c.duty.owners[k] != c.opt.Self.ID {
+		if c.roles.schedulers[k] != c.opt.Self.ID {
 			c.decide(k, c.groups[k].Dissolve())
 			delete(c.groups, k)
 		}
 	}
-	mine := make([]GroupKey, 0, len(c.duty.owners))
-	for k, owner := range c.duty.owners {
+	mine := make([]GroupKey, 0, len(c.roles.schedulers))
+	for k, owner := range c.roles.schedulers {
 		if owner == c.opt.Self.ID {
 			mine = append(mine, k)
 		}
@@ -165,7 +167,7 @@
 	c.emit(WatchEngines{watch})
 }
 
-// refreshGroup returns the engines to hear for a group.
+// refreshGroup returns the engines to watch for a group.
 func (c *Core) refreshGroup(k GroupKey, all []record.Backend) []WatchedEngine {
 	service := record.Service{Name: k.Service, Kind: record.ServiceModel, Policy: record.Policies[0]}
 	if s := c.conf.Service(k.Service); s != nil {
@@ -173,7 +175,7 @@
 	}
 	g, ok := c.groups[k]
 	if !ok {
-		others := slices.DeleteFunc(slices.Clone(c.duty.live), func(id string) bool { return id == c.opt.Self.ID })
+		others := slices.DeleteFunc(slices.Clone(c.roles.live), func(id string) bool { return id == c.opt.Self.ID })
 		g = sched.NewGroup(c.now, c.opt.Sched, service, others, &c.inv)
 		c.groups[k] = g
 	}
@@ -181,7 +183,7 @@
 	g.SetTiers(c.conf.Tiers())
 	var specs []record.Backend
 	for i, b := range all {
-		if shardOf(i, c.duty.shards[k.Service]) == k.Shard {
+		if shardOf(i, c.roles.shards[k.Service]) == k.Shard {
 			specs = append(specs, b)
 		}
 	}
@@ -191,7 +193,7 @@
 	}
 	watch := make([]WatchedEngine, len(specs))
 	for i, b := range specs {
-		watch[i] = WatchedEngine{b.Name, b.Addr, sched.ReadsLoad(service.Policy)}
+		watch[i] = WatchedEngine{b.Name, b.Addr, sched.UsesLoadReports(service.Policy)}
 	}
 	return watch
 }
@@ -205,48 +207,48 @@
 	return keys
 }
 
-// readingMode is why a host watches the configuration service.
-type readingMode int
+// readMode is how a host watches the configuration service.
+type readMode int
 
 const (
-	notReading readingMode = iota
-	// auditing hosts look for what is newer than they have.
+	notReading readMode = iota
+	// auditing hosts watch for records newer than theirs, for auditDuration.
 	auditing
-	// onDuty hosts read everything, and then watch.
-	onDuty
+	// reading hosts read all records first, and then watch.
+	reading
 )
 
-// refreshReading decides whether this host watches the configuration service: the first two of the
-// zone do; any host does while no live host says that it reaches the service; and each takes a turn
-// now and then.
+// refreshReadMode decides whether this host watches the configuration service. Three rules apply: the
+// first two hosts of the zone watch it; any host does if no live host reports that it reaches the service;
+// and each host watches it for auditDuration in turn.
 //
-// The second rule guards against both readers being cut off from the platform while others are
-// not, the third against both being answered by a stale copy of it: no host of the zone would hear
-// a change. They hold since every host judges by itself.
-func (c *Core) refreshReading() {
+// The second rule covers readers that are cut off from the platform while other hosts are not. The third
+// covers readers that are all served by a stale replica: without it no host of the zone would receive a
+// change. Each host applies the rules on its own, without depending on the reports of the readers.
+func (c *Core) refreshReadMode() {
 	mode := notReading
-	if rank := slices.Index(c.duty.live, c.opt.Self.ID); rank >= 0 {
-		turn := int(c.now / auditTurn)
-		if turn%len(c.duty.live) == rank {
+	if rank := slices.Index(c.roles.live, c.opt.Self.ID); rank >= 0 {
+		turn := int(c.now / auditDuration)
+		if turn%len(c.roles.live) == rank {
 			mode = auditing
 		}
 	}
-	readers := member.Top("reader/"+c.opt.Self.Zone, c.duty.live, readersPerZone)
-	silent := c.now-c.gossip.readElsewhere > readersSilent*c.view.Interval()
+	readers := member.Top("reader/"+c.opt.Self.Zone, c.roles.live, readersPerZone)
+	silent := c.now-c.gossip.peerReadAt > readerTimeoutHeartbeats*c.view.HeartbeatInterval()
 	if silent || slices.Contains(readers, c.opt.Self.ID) {
-		mode = onDuty
+		mode = reading
 	}
-	if mode == c.duty.reading {
+	if mode == c.roles.readMode {
 		return
 	}
-	if c.duty.reading != notReading {
+	if c.roles.readMode != notReading {
 		c.emit(ReadPlatform{})
 	}
-	c.duty.reading = mode
+	c.roles.readMode = mode
 	switch mode {
 	case auditing:
 		c.emit(ReadPlatform{On: true, After: c.conf.Revision()})
-	case onDuty:
+	case reading:
 		c.emit(ReadPlatform{On: true})
 	}
 }
@@ -258,22 +260,22 @@
 }
 
 func (c *Core) tickGossip() {
-	if c.now-c.gossip.beatAt >= c.view.Interval() {
+	if c.now-c.gossip.heartbeatAt >= c.view.HeartbeatInterval() {
 		c.sendHeartbeats()
 	}
-	if c.now-c.gossip.digestAt >= c.gossip.digestEvery {
+	if c.now-c.gossip.digestAt >= c.gossip.digestInterval {
 		c.gossip.digestAt = c.now
 		c.sendDigests()
 	}
 }
 
 func (c *Core) sendHeartbeats() {
-	c.gossip.beatAt = c.now
-	groups, held, suspects := c.ownSummaries(), c.heldUnder(), c.ownSuspects()
-	for _, h := range c.view.Zone() {
-		c.sendHeartbeat(h.ID, groups, c.heldBy(held, h.ID), suspects)
+	c.gossip.heartbeatAt = c.now
+	groups, held, suspects := c.ownSummaries(), c.heldDigests(), c.suspectsToReport()
+	for _, h := range c.view.ZonePeers() {
+		c.sendHeartbeat(h.ID, groups, c.heldDigestsFor(held, h.ID), suspects)
 	}
-	c.confirmHeld(c.opt.Self.ID, c.heldBy(held, c.opt.Self.ID))
+	c.confirmHeld(c.opt.Self.ID, c.heldDigestsFor(held, c.opt.Self.ID))
 }
 
 func (c *Core) sendHeartbeat(to string, groups []*peerpb.ServiceSummary, held []*peerpb.HeldDigest, suspects []*quarantinepb.Suspect) {
@@ -285,7 +287,7 @@
 		ConfigDigest:    c.conf.Digest(),
 		Groups:          groups,
 		Synced:          c.gossip.synced,
-		ReadsPlatform:   c.gossip.everRead && c.now-c.gossip.readOK < platformAway,
+		ReadsPlatform:   c.gossip.platformRead && c.now-c.gossip.platformReadAt < platformDownAfter,
 		Held:            held,
 		CatchingUp:      c.view.CatchingUp(),
 		EchoMs:          echo,
@@ -307,22 +309,22 @@
 func (c *Core) heartbeat(from string, h *peerpb.Heartbeat) {
 	inc := c.view.Incarnation(from)
 	wasLive := c.view.Alive(c.now, from)
-	c.view.Heard(c.now, from, inc, h.SentMs, h.Draining || h.CatchingUp)
-	c.view.NoteCatchingUp(from, h.CatchingUp)
+	c.view.HeartbeatReceived(c.now, from, inc, h.SentMs, h.Draining || h.CatchingUp)
+	c.view.SetPeerCatchingUp(from, h.CatchingUp)
 	for _, s := range h.Groups {
 		s.Scheduler = from
-		c.duty.summary[GroupKey{s.Service, s.Shard}] = groupRow{s, c.now}
+		c.roles.summaries[GroupKey{s.Service, s.Shard}] = groupSummary{s, c.now}
 	}
 	c.suspects.ledger.Hear(c.now, h.Suspects)
 	if h.ReadsPlatform {
-		c.gossip.readElsewhere = c.now
+		c.gossip.peerReadAt = c.now
 	}
 	if c.view.Alive(c.now, from) != wasLive {
-		c.refreshDuties()
+		c.refreshRoles()
 	}
 	c.confirmHeld(from, h.Held)
-	c.compareConfig(from, h.ConfigRevision, h.ConfigDigest)
-	c.syncedByPeer(h)
-	c.answerWoken(from, h)
-	c.hearAfterWaking(from, h)
+	c.reconcileConfig(from, h.ConfigRevision, h.ConfigDigest)
+	c.markSyncedByPeer(h)
+	c.answerCatchingUp(from, h)
+	c.catchUpFromHeartbeat(from, h)
 }
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -11,32 +11,34 @@
 )
 
 const (
-	// maxReseeks bounds dispatches that were proved not sent; each also costs retry budget.
-	maxReseeks = 3
-	// retryShare of the requests may be retried, with retryBurst saved up at most.
-	retryShare = 0.1
-	retryBurst = 50.0
-	// holdEvery is how often Holdings go to other zones; it must be well under
-	// sched.Options.Unconfirmed.
-	holdEvery = time.Second
-	// maxFinished bounds what fireflyctl explain can look back on.
-	maxFinished = 4096
-	// rateSlack allows for a balancer that spreads a workspace unevenly over the hosts.
+	// maxUnsentRetries limits the retries of a request whose dispatches were proved not sent; each also
+	// uses retry budget.
+	maxUnsentRetries = 3
+	// Each accepted request adds retryBudgetRatio to the retry budget, up to maxRetryBudget; each retry
+	// uses 1.
+	retryBudgetRatio = 0.1
+	maxRetryBudget   = 50.0
+	// holdingsInterval is how often Holdings are sent to schedulers in other zones. It must be well below
+	// sched.Options.UnconfirmedTimeout.
+	holdingsInterval = time.Second
+	// maxFinishedTraces limits the finished requests that fireflyctl explain can show.
+	maxFinishedTraces = 4096
+	// rateSlack allows for a load balancer that spreads a workspace unevenly over the hosts.
 	rateSlack = 1.5
 )
 
-// phase is where a request stands.
+// phase is the state of a request at its entry host.
 type phase int
 
 const (
 	claiming phase = iota + 1
-	seeking
-	pausing // waits to seek again
+	waitingForSlot
+	backingOff // waits before it requests a slot again
 	dispatched
 	suspending
 )
 
-// target is the scheduler that a request waits at.
+// target is the scheduler at which a request waits or under which it runs.
 type target struct {
 	group     GroupKey
 	scheduler string
@@ -46,7 +48,7 @@
 // request is one caller's request at its entry host.
 type request struct {
 	Submit
-	// number names the request in messages between hosts: it costs a few bytes where an id has 36.
+	// number identifies the request in messages between hosts. It takes a few bytes, an ID takes 36.
 	number   uint64
 	deadline time.Duration
 	weight   float64
@@ -54,80 +56,81 @@
 	attempt  uint32
 	target   target
 	backend  string
-	// sent is the at-most-once mark: it is set before the dispatch leaves the reducer, and taken
-	// back only when the traffic side proves that no byte was sent.
-	sent    bool
-	resume  bool
-	reseeks int
-	spilled []string
-	// refusedHere tells that this zone's own scheduler has refused it.
-	refusedHere bool
-	since       time.Duration // when the ticket, or the slot, was first asked for
-	wake        time.Duration
-	index       int
-	trail       []Hop
-	// onTrial tells that it runs though it is in quarantine, to show whether it does harm.
+	// sent is the at-most-once mark. It is set before the Dispatch effect leaves the reducer, and cleared
+	// only if the traffic side proves that no byte was sent.
+	sent          bool
+	resume        bool
+	unsentRetries int
+	triedZones    []string
+	// refusedLocally reports that the scheduler of this zone has refused the request.
+	refusedLocally bool
+	requestedAt    time.Duration // when the ticket or the slot was first requested
+	timerAt        time.Duration
+	heapIndex      int
+	trace          []TraceEvent
+	// onTrial reports that the request runs although it is in quarantine, to find out whether it still
+	// ends backend servers.
 	onTrial bool
 }
 
-// Hop is one step of a request's way, for operators.
-type Hop struct {
+// TraceEvent is one step in the processing of a request, for operators.
+type TraceEvent struct {
 	At   time.Duration `json:"at"`
 	What string        `json:"what"`
 }
 
-// entryState is what an entry host keeps for its callers.
+// entryState is the state that an entry host keeps for its callers' requests.
 type entryState struct {
-	requests map[string]*request
-	byNumber map[uint64]*request
-	latest   uint64 // the latest number given
-	wakes    wakeHeap
-	limits   map[string]*rate.Limiter
-	budget   float64
-	heldAt   time.Duration
-	held     map[target]bool // schedulers that were told of runs
-	finished map[string][]Hop
-	order    []string
+	requests      map[string]*request
+	byNumber      map[uint64]*request
+	lastNumber    uint64 // the last number assigned
+	timers        timerHeap
+	rateLimiters  map[string]*rate.Limiter
+	retryBudget   float64
+	holdingsAt    time.Duration
+	reportedTo    map[target]bool // schedulers of other zones that the latest Holdings went to
+	finished      map[string][]TraceEvent
+	finishedOrder []string
 }
 
 func newEntryState() entryState {
 	return entryState{
-		requests: map[string]*request{},
-		byNumber: map[uint64]*request{},
-		wakes:    newWakeHeap(),
-		limits:   map[string]*rate.Limiter{},
-		budget:   retryBurst,
-		held:     map[target]bool{},
-		finished: map[string][]Hop{},
+		requests:     map[string]*request{},
+		byNumber:     map[uint64]*request{},
+		timers:       newTimerHeap(),
+		rateLimiters: map[string]*rate.Limiter{},
+		retryBudget:  maxRetryBudget,
+		reportedTo:   map[target]bool{},
+		finished:     map[string][]TraceEvent{},
 	}
 }
 
 func (c *Core) submit(e Submit) {
 	r := &request{Submit: e, deadline: c.now + e.Deadline, weight: c.weightOf(e.Workspace)}
-	r.onTrial = c.trial(e.Digest)
+	r.onTrial = c.allowTrial(e.Digest)
 	if f := c.quarantined(r); f != nil {
 		c.emit(Finish{e.ID, f})
 		return
 	}
-	if f := c.refuseSubmit(e); f != nil {
+	if f := c.checkSubmit(e); f != nil {
 		c.emit(Finish{e.ID, f})
 		return
 	}
-	c.entry.budget = min(retryBurst, c.entry.budget+retryShare)
-	c.entry.latest++
-	r.number = c.entry.latest
+	c.entry.retryBudget = min(maxRetryBudget, c.entry.retryBudget+retryBudgetRatio)
+	c.entry.lastNumber++
+	r.number = c.entry.lastNumber
 	c.entry.requests[e.ID] = r
 	c.entry.byNumber[r.number] = r
-	c.entry.wakes.Push(r)
+	c.entry.timers.Push(r)
 	c.trace(r, "accepted: workspace %s, tier %s, service %s", e.Workspace, e.Tier, e.Service)
 	if e.Ticket != nil {
 		c.claim(r)
 		return
 	}
-	c.seek(r)
+	c.requestSlot(r)
 }
 
-func (c *Core) refuseSubmit(e Submit) *fault.Error {
+func (c *Core) checkSubmit(e Submit) *fault.Error {
 	if c.drain {
 		return c.drainingFault()
 	}
@@ -140,12 +143,12 @@
 	if len(c.entry.requests) >= c.opt.MaxRequests {
 		return fault.New(fault.Overloaded, "host %s holds %d requests", c.opt.Self.ID, c.opt.MaxRequests)
 	}
-	return c.overRate(e.Workspace)
+	return c.checkRate(e.Workspace)
 }
 
-// overRate applies the host's part of a workspace's fleet-wide rate. The part comes from the size
-// of the platform's list, so a partition does not multiply the limit.
-func (c *Core) overRate(workspace string) *fault.Error {
+// checkRate applies this host's part of a workspace's fleet-wide rate. The part depends on the size of the
+// platform's host list, so that a network partition does not multiply the limit.
+func (c *Core) checkRate(workspace string) *fault.Error {
 	w := c.conf.Workspace(workspace)
 	if w == nil || w.Rate == 0 {
 		return nil
@@ -153,10 +156,10 @@
 	share := min(1, rateSlack/float64(c.view.FleetSize()))
 	part := rate.Limit(w.Rate * share)
 	burst := max(1, int(float64(w.Burst)*share))
-	l, ok := c.entry.limits[workspace]
+	l, ok := c.entry.rateLimiters[workspace]
 	if !ok {
 		l = rate.NewLimiter(part, burst)
-		c.entry.limits[workspace] = l
+		c.entry.rateLimiters[workspace] = l
 	}
 	at := time.Unix(0, int64(c.now))
 	if l.Limit() != part || l.Burst() != burst {
@@ -170,27 +173,29 @@
 	return fault.New(fault.RateLimited, "workspace %s is over its rate of %g a second", workspace, w.Rate).After(max(back, 100*time.Millisecond))
 }
 
-// grant takes permission to dispatch. The mark is set here, before the effect leaves the reducer:
-// this is the one write-ahead point of the system.
+// grant handles the permission to dispatch. The sent mark is set here, before the effect leaves the
+// reducer; this is the only write-ahead point of the system.
 //
-// The checks guard against a grant that crossed the news of a server's leaving, or that waited out
-// a pause of this process: the host's own configuration and its own clock decide, not the sender's. A grant whose
-// sender had no word of this host since it woke up is of before the pause, and so is what it knew of the server.
+// The checks reject a grant that was sent before the scheduler knew that the server was leaving, and one
+// that waited out a pause of this process: this host's own configuration and clock decide, not the
+// sender's. If the sender has not received a message from this host since the pause, its grant and its
+// view of the server are from before the pause.
 func (c *Core) grant(from string, m *peerpb.Grant) {
 	r, ok := c.entry.byNumber[m.Request]
-	if !ok || r.phase != seeking || r.attempt != m.Attempt || r.target.scheduler != from {
+	if !ok || r.phase != waitingForSlot || r.attempt != m.Attempt || r.target.scheduler != from {
 		c.returnGrant(from, m)
 		return
 	}
 	spec, usable := c.usable(m.Backend)
 	until := time.Duration(m.EchoMs+uint64(m.LeaseMs)) * time.Millisecond
-	if !usable || m.EchoIncarnation != c.opt.Incarnation || c.now > until || !c.catch.heard(m.EchoMs) {
+	if !usable || m.EchoIncarnation != c.opt.Incarnation || c.now > until || !c.catchUp.sentAfterPause(m.EchoMs) {
 		c.trace(r, "grant on %s came too late, was of before a pause or for a leaving backend server", m.Backend)
 		c.returnGrant(from, m)
-		c.pause(r)
+		c.backOff(r)
 		return
 	}
-	// It may have been found out while it waited. What has run already was suspended in good order.
+	// The request may have been quarantined while it waited. One that has already run was suspended
+	// normally and may go on.
 	if f := c.quarantined(r); f != nil && !r.sent {
 		c.returnGrant(from, m)
 		c.finish(r, f)
@@ -202,23 +207,23 @@
 	c.inv.Check(!spec.Leaving, "request %s dispatched to leaving backend server %s", r.ID, spec.Name)
 	r.sent, r.phase, r.backend = true, dispatched, m.Backend
 	c.trace(r, "dispatched to %s", m.Backend)
-	c.wakeAt(r, r.deadline)
+	c.setTimer(r, r.deadline)
 	c.emit(Dispatch{ID: r.ID, Attempt: r.attempt, Backend: spec, ValidUntil: min(until, r.deadline), Resume: r.resume,
 		Scheduler: from, At: c.now})
 }
 
-// returnGrant gives a slot back that will not be used.
+// returnGrant releases a granted slot that will not be used.
 func (c *Core) returnGrant(from string, m *peerpb.Grant) {
 	r, known := c.entry.byNumber[m.Request]
-	if known && r.attempt == m.Attempt && r.runs() {
-		return // a repeated answer to a repeated question: the slot is in use
+	if known && r.attempt == m.Attempt && r.isRunning() {
+		return // a repeated grant for a repeated Acquire: the slot is in use
 	}
-	k, ok := c.duty.groupOf[m.Backend]
+	k, ok := c.roles.groupOf[m.Backend]
 	if known && r.target.scheduler == from {
 		k, ok = r.target.group, true
 	}
 	if !ok {
-		return // the scheduler frees the slot when Holdings do not name it
+		return // the scheduler frees the slot once Holdings do not list it
 	}
 	c.send(from, &peerpb.Message{Body: &peerpb.Message_Release{Release: &peerpb.Release{
 		Request: m.Request, Attempt: m.Attempt, Service: k.Service, Shard: k.Shard, Backend: m.Backend,
@@ -227,30 +232,30 @@
 
 func (c *Core) refusal(from string, m *peerpb.Refusal) {
 	r, ok := c.entry.byNumber[m.Request]
-	if !ok || r.phase != seeking || r.attempt != m.Attempt || r.target.scheduler != from {
+	if !ok || r.phase != waitingForSlot || r.attempt != m.Attempt || r.target.scheduler != from {
 		return
 	}
 	c.trace(r, "%s refused: %s", from, m.Kind)
 	kind := fault.Kind(m.Kind)
 	if kind == fault.Moved {
-		c.pause(r)
+		c.backOff(r)
 		return
 	}
-	// Another zone that has no room after all says nothing about this one.
+	// A refusal by another zone does not mean that this zone would refuse.
 	if r.target.zone == c.opt.Self.Zone {
-		r.refusedHere = true
-	} else if _, ok := c.pickGroup(r); ok && !r.refusedHere {
-		c.seek(r)
+		r.refusedLocally = true
+	} else if _, ok := c.pickGroup(r); ok && !r.refusedLocally {
+		c.requestSlot(r)
 		return
 	}
-	c.spillOr(r, kind, time.Duration(m.RetryAfterMs)*time.Millisecond)
+	c.spillOrRefuse(r, kind, time.Duration(m.RetryAfterMs)*time.Millisecond)
 }
 
-// preempt suspends a running request. It may be asked for again: an engine refuses to export a stream
-// that it has not begun.
+// preempt suspends a running request. The scheduler may repeat it, since an engine refuses to export a
+// stream that it has not started.
 func (c *Core) preempt(from string, m *peerpb.Preempt) {
 	r, ok := c.entry.byNumber[m.Request]
-	if !ok || !r.runs() || r.attempt != m.Attempt || r.target.scheduler != from {
+	if !ok || !r.isRunning() || r.attempt != m.Attempt || r.target.scheduler != from {
 		return
 	}
 	c.trace(r, "suspending on %s for more urgent work", r.backend)
@@ -260,11 +265,11 @@
 
 func (c *Core) ended(e Ended) {
 	r, ok := c.entry.requests[e.ID]
-	if !ok || !r.runs() || r.attempt != e.Attempt {
+	if !ok || !r.isRunning() || r.attempt != e.Attempt {
 		return
 	}
 	c.sendRelease(r, e)
-	c.learnOfRequest(r, e)
+	c.recordOutcome(r, e)
 	switch e.Outcome {
 	case Done:
 		c.trace(r, "answered whole by %s", r.backend)
@@ -272,7 +277,7 @@
 	case Suspended:
 		r.resume = true
 		c.trace(r, "suspended")
-		c.seek(r)
+		c.requestSlot(r)
 	case NotSent:
 		c.notSent(r)
 	case Canceled:
@@ -286,20 +291,20 @@
 	}
 }
 
-// notSent takes the mark back: the connection was refused, so the work cannot have begun. The
-// retry budget guards against a retry storm when many servers refuse at once.
+// notSent clears the sent mark: the connection was refused, so the request cannot have started. The retry
+// budget prevents a retry storm when many servers refuse at the same time.
 func (c *Core) notSent(r *request) {
 	c.trace(r, "%s refused the connection: not sent", r.backend)
 	if !r.resume {
 		r.sent = false
 	}
-	r.reseeks++
-	if r.reseeks > maxReseeks || c.entry.budget < 1 {
-		c.spillOr(r, fault.NoBackend, time.Second)
+	r.unsentRetries++
+	if r.unsentRetries > maxUnsentRetries || c.entry.retryBudget < 1 {
+		c.spillOrRefuse(r, fault.NoBackend, time.Second)
 		return
 	}
-	c.entry.budget--
-	c.seek(r)
+	c.entry.retryBudget--
+	c.requestSlot(r)
 }
 
 func (c *Core) sendRelease(r *request, e Ended) {
@@ -317,14 +322,14 @@
 	}}})
 }
 
-func (c *Core) gone(id string) {
+func (c *Core) callerGone(id string) {
 	r, ok := c.entry.requests[id]
 	if !ok {
 		return
 	}
 	switch r.phase {
 	case dispatched, suspending:
-		return // the traffic side cancels and reports Ended
+		return // the traffic side cancels the request and reports Ended
 	default:
 		c.trace(r, "caller closed the connection")
 		c.abandon(r)
@@ -336,10 +341,11 @@
 	return fault.New(fault.Draining, "host %s is shutting down", c.opt.Self.ID)
 }
 
-// endRequests gives every request its final answer. Work that runs is canceled by the traffic side when it sees Finish.
-func (c *Core) endRequests() {
+// finishAll gives every request its final answer. The traffic side cancels running requests when it
+// handles Finish.
+func (c *Core) finishAll() {
 	for _, r := range c.requestsWhere(func(*request) bool { return true }) {
-		if r.runs() {
+		if r.isRunning() {
 			c.sendRelease(r, Ended{Outcome: Canceled})
 		}
 		c.abandon(r)
@@ -351,16 +357,16 @@
 	}
 }
 
-// abandon takes a waiting request back from its scheduler.
+// abandon withdraws a waiting request from its scheduler.
 func (c *Core) abandon(r *request) {
-	if r.phase != seeking {
+	if r.phase != waitingForSlot {
 		return
 	}
 	c.send(r.target.scheduler, &peerpb.Message{Body: &peerpb.Message_Withdraw{Withdraw: &peerpb.Withdraw{
 		Request: r.number, Attempt: r.attempt, Service: r.target.group.Service, Shard: r.target.group.Shard}}})
 }
 
-// finish ends a request once and for all.
+// finish ends a request with its final answer.
 func (c *Core) finish(r *request, f *fault.Error) {
 	if !c.inv.Check(c.entry.requests[r.ID] == r, "request %s finished twice", r.ID) {
 		return
@@ -369,40 +375,41 @@
 		c.inv.Check(f.Ran != fault.NotRun || !r.sent, "request %s called not run after its dispatch", r.ID)
 		c.trace(r, "ended: %s", f.Kind)
 	}
-	c.entry.wakes.Remove(r.index)
+	c.entry.timers.Remove(r.heapIndex)
 	delete(c.entry.requests, r.ID)
 	delete(c.entry.byNumber, r.number)
-	c.settleOwn(r, f)
-	c.remember(r)
+	c.settleClaim(r, f)
+	c.keepTrace(r)
 	c.emit(Finish{r.ID, f})
 }
 
 func (c *Core) trace(r *request, format string, args ...any) {
-	r.trail = append(r.trail, Hop{c.now, fmt.Sprintf(format, args...)})
+	r.trace = append(r.trace, TraceEvent{c.now, fmt.Sprintf(format, args...)})
 }
 
-func (c *Core) remember(r *request) {
-	c.entry.finished[r.ID] = r.trail
-	c.entry.order = append(c.entry.order, r.ID)
-	if len(c.entry.order) > maxFinished {
-		delete(c.entry.finished, c.entry.order[0])
-		c.entry.order = c.entry.order[1:]
+func (c *Core) keepTrace(r *request) {
+	c.entry.finished[r.ID] = r.trace
+	c.entry.finishedOrder = append(c.entry.finishedOrder, r.ID)
+	if len(c.entry.finishedOrder) > maxFinishedTraces {
+		delete(c.entry.finished, c.entry.finishedOrder[0])
+		c.entry.finishedOrder = c.entry.finishedOrder[1:]
 	}
 }
 
-// Trail tells the way of a request that this host holds or lately held.
-func (c *Core) Trail(id string) []Hop {
+// RequestTrace returns the trace of a request that this host holds or finished recently, nil if it knows
+// none.
+func (c *Core) RequestTrace(id string) []TraceEvent {
 	if r, ok := c.entry.requests[id]; ok {
-		return r.trail
+		return r.trace
 	}
 	return c.entry.finished[id]
 }
 
-// settleOwn tells the ticket's home how the claim ended. A claim whose work may have run stays
-// open until it expires: nobody can say that it is done, or that it is not.
-func (c *Core) settleOwn(r *request, f *fault.Error) {
+// settleClaim reports the end of the claim to the ticket's home. If the request may have run, the claim
+// stays open until it expires, since it can be called neither done nor not run.
+func (c *Core) settleClaim(r *request, f *fault.Error) {
 	if r.Ticket == nil || (f != nil && f.Ran == fault.MayHaveRun && r.sent) {
 		return
 	}
-	c.settle(r, !r.sent)
+	c.sendSettlement(r, !r.sent)
 }
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -15,10 +15,10 @@
 // Event is an input of the reducer.
 type Event interface{ event() }
 
-// Tick lets time pass. The daemon sends one every TickEvery.
+// Tick advances time. The daemon sends one at the interval that NextTick returns.
 type Tick struct{}
 
-// Submit is a caller's request whose key, service and tier the edge has checked.
+// Submit is a caller's request. The edge has already checked its key, service and tier.
 type Submit struct {
 	ID            string
 	Workspace     string
@@ -28,18 +28,18 @@
 	PromptTokens  uint32
 	OutputTokens  uint32
 	Prefix        []uint32
-	Deadline      time.Duration // time left
+	Deadline      time.Duration // time left until the deadline
 	NonIdempotent bool
 	Ticket        *ticket.Ticket
 	Traceparent   string
-	// Digest names the request whatever its attempt.
+	// Digest identifies the request content, independent of the attempt.
 	Digest quarantine.Digest
 }
 
-// Gone tells that the caller closed its connection.
-type Gone struct{ ID string }
+// CallerGone reports that the caller has closed its connection.
+type CallerGone struct{ ID string }
 
-// Ended is how a dispatch ended, from the traffic side.
+// Ended reports the end of a dispatch, as seen by the traffic side.
 type Ended struct {
 	ID         string
 	Attempt    uint32
@@ -47,16 +47,16 @@
 	FirstToken time.Duration
 	Interval   time.Duration
 	Tokens     uint32
-	// Fault is the caller's answer for Failed.
+	// Fault is the error to answer to the caller if the outcome is Failed.
 	Fault *fault.Error
-	// BackendEnded tells that the backend server's process has ended while it ran the request.
+	// BackendEnded reports that the process of the backend server ended while it ran the request.
 	BackendEnded bool
 }
 
 // Outcome classifies the end of a dispatch.
 type Outcome int
 
-// The outcomes. NotSent is said only when no byte of the request left the host.
+// NotSent is reported only if no byte of the request has left the host.
 const (
 	Done Outcome = iota + 1
 	NotSent
@@ -72,61 +72,63 @@
 	Message     *peerpb.Message
 }
 
-// PeerLinked tells that a host opened a link to this one.
+// PeerLinked reports that a host has opened a link to this one.
 type PeerLinked struct {
 	Host        member.Host
 	Incarnation uint64
 }
 
-// PeerUnlinked tells that a link from a host has broken.
+// PeerUnlinked reports that a link from a host has broken.
 type PeerUnlinked struct {
 	Host        string
 	Incarnation uint64
 }
 
-// LinkOpened tells that this host's link to a peer is open again: messages may have been lost.
+// LinkOpened reports that this host's link to a peer is open again: messages sent before may have been
+// lost.
 type LinkOpened struct{ Host string }
 
-// PlatformRecords is a read of the configuration service.
+// PlatformRecords is the result of a read of the configuration service.
 type PlatformRecords struct {
 	Records []record.Raw
-	// Current tells that the service had nothing newer at the time of the read.
+	// Current reports that the service had no newer records at the time of the read.
 	Current bool
 }
 
-// PlatformFailed is a failed read of the configuration service.
+// PlatformFailed reports a failed read of the configuration service.
 type PlatformFailed struct{}
 
-// ListedHost is one row of the platform's host list.
+// ListedHost is one entry of the platform's host list.
 type ListedHost struct {
 	member.Host
 	Backend bool
 }
 
-// HostList is the platform's lagging list of hosts.
+// HostList is the platform's list of hosts, which lags behind reality.
 type HostList struct{ Hosts []ListedHost }
 
-// LoadReport is an engine's lagging word on its load.
+// LoadReport is an engine's delayed report of its load.
 type LoadReport struct {
 	Backend     string
 	Outstanding int
 }
 
-// CacheEvicted is an engine's late word on its prefix cache.
+// CacheEvicted is an engine's delayed report of evictions from its prefix cache.
 type CacheEvicted struct {
 	Backend string
 	Hashes  []uint32
 }
 
-// Drain begins the graceful shutdown: the host's duties move at once, new requests are refused.
+// Drain starts the graceful shutdown: the host's roles move to other hosts at once and new requests are
+// refused.
 type Drain struct{}
 
-// Stop ends what is in hand: each request gets its final answer.
+// Stop ends all requests at once; each gets its final answer.
 type Stop struct{}
 
 func (Tick) event()            {}
 func (Submit) event()          {}
-func (Gone) event()            {}
+func (CallerGone) event()      {}
 func (Ended) event()           {}
 func (PeerMessage) event()     {}
 func (PeerLinked) event()      {}
@@ -140,54 +142,55 @@
 func (Drain) event()           {}
 func (Stop) event()            {}
 
-// Effect is an output of the reducer, for the daemon to carry out.
+// Effect is an output of the reducer that the daemon carries out.
 type Effect interface{ effect() }
 
-// Send passes a message to a peer.
+// Send sends a message to a peer.
 type Send struct {
 	To      member.Host
 	Message *peerpb.Message
 }
 
-// Dispatch starts, or with Resume continues, a request on a backend server. It must not be carried
-// out after ValidUntil.
+// Dispatch starts a request on a backend server, or continues it there if Resume is set. It must not be
+// carried out after ValidUntil.
 type Dispatch struct {
 	ID         string
 	Attempt    uint32
 	Backend    record.Backend
 	ValidUntil time.Duration
 	Resume     bool
-	// Scheduler is the host whose grant this is, and At when it was taken, for logs.
+	// Scheduler is the host that granted the slot and At the time at which the grant was used, for logs.
 	Scheduler string
 	At        time.Duration
 }
 
-// Suspend asks the traffic side to export the stream of a request.
+// Suspend requests that the traffic side export the stream of a running request.
 type Suspend struct{ ID string }
 
-// Finish ends a request: with a fault, or with nil after a whole answer.
+// Finish ends a request, with a fault or with nil after a complete answer.
 type Finish struct {
 	ID    string
 	Fault *fault.Error
 }
 
-// ConfigChanged tells that the configuration in force has changed.
+// ConfigChanged reports that the configuration in force has changed.
 type ConfigChanged struct{}
 
-// ReadPlatform turns the watch of the configuration service on or off. It starts after a revision.
+// ReadPlatform turns the watch of the configuration service on or off. The watch starts after the revision
+// After.
 type ReadPlatform struct {
 	On    bool
 	After uint64
 }
 
-// ReadHosts asks for the host list to be read anew, whatever is known of it.
+// ReadHosts requests a new read of the host list, even if a cached one exists.
 type ReadHosts struct{}
 
-// WatchEngines names the engines that this host should hear.
+// WatchEngines lists the engines whose events this host needs.
 type WatchEngines struct{ Engines []WatchedEngine }
 
-// WatchedEngine is an engine whose cache events are wanted, and its load reports only where the
-// service's policy reads them: each poll costs bytes.
+// WatchedEngine is an engine whose cache events are needed. Load is set only if the service's policy uses
+// load reports: each poll costs bandwidth.
 type WatchedEngine struct {
 	Name string
 	Addr string
--- a/internal/core/group.go
+++ b/internal/core/group.go
@@ -35,7 +35,7 @@
 		c.sendRefusal(from, sched.Refuse{Key: sched.Key{Host: from, Request: m.Request}, Attempt: m.Attempt, Kind: fault.Moved})
 		return
 	}
-	c.view.NoteEcho(from, m.SentMs)
+	c.view.UpdateEcho(from, m.SentMs)
 	r := sched.Request{
 		Key:           sched.Key{Host: from, Request: m.Request},
 		Attempt:       m.Attempt,
@@ -91,13 +91,13 @@
 	if !ok {
 		return
 	}
-	c.view.NoteEcho(from, m.SentMs)
+	c.view.UpdateEcho(from, m.SentMs)
 	held := make([]sched.Held, len(m.Held))
 	for i, h := range m.Held {
 		held[i] = sched.Held{Key: sched.Key{Host: from, Request: h.Request}, Attempt: h.Attempt, Backend: h.Backend,
 			Workspace: h.Workspace, Priority: h.Priority, OutputTokens: h.OutputTokens, NonIdempotent: h.NonIdempotent}
 	}
-	c.decide(k, g.Hold(c.now, from, held))
+	c.decide(k, g.UpdateHoldings(c.now, from, held))
 }
 
 // confirmHeld compares what an entry host says it runs here with what this host believes, and asks
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -22,8 +22,8 @@
 	Groups      []GroupStatus `json:"groups"`
 	Refused     []Refused     `json:"refused_records"`
 	Tickets     int           `json:"ticket_claims"`
-	// Beliefs are a host's of the users' platform, where each decides alone; empty elsewhere.
-	Beliefs []BeliefStatus `json:"beliefs,omitempty"`
+	// Backends are a host's of the users' platform, where each decides alone; empty elsewhere.
+	Backends []BackendStatus `json:"beliefs,omitempty"`
 	// StoreAgeMS is how old the latest word of the platform's store is there; -1 where there is none.
 	StoreAgeMS int64 `json:"store_age_ms"`
 	// StoreEra is how often that store has come back from an older copy, as it counts.
@@ -35,15 +35,15 @@
 
 // QuarantineStatus is a request that is kept from backend servers, as it has ended several of them.
 type QuarantineStatus struct {
-	Digest    string `json:"digest"`
-	Workspace string `json:"workspace"`
-	Ends      int    `json:"ends"`
-	AgeMS     int64  `json:"latest_end_age_ms"`
-	BackMS    int64  `json:"next_trial_ms"`
+	Digest      string `json:"digest"`
+	Workspace   string `json:"workspace"`
+	Ends        int    `json:"ends"`
+	AgeMS       int64  `json:"latest_end_age_ms"`
+	NextTrialMS int64  `json:"next_trial_ms"`
 }
 
-// BeliefStatus is what a host believes of one backend server.
-type BeliefStatus struct {
+// BackendStatus is what a host believes of one backend server.
+type BackendStatus struct {
 	Name       string  `json:"name"`
 	Service    string  `json:"service"`
 	Zone       string  `json:"zone"`
@@ -93,13 +93,13 @@
 		Revision:    c.conf.Revision(),
 		Digest:      c.conf.Digest(),
 		Suspects:    len(c.suspects.ledger.Cases()),
-		Reading:     c.duty.reading == onDuty,
-		PlatformOK:  c.gossip.everRead && !c.gossip.failing,
+		Reading:     c.roles.readMode == reading,
+		PlatformOK:  c.gossip.platformRead && !c.gossip.failing,
 		Requests:    len(c.entry.requests),
 		Violations:  c.inv.Total(),
 		Tickets:     c.tickets.Len(),
 	}
-	for _, h := range c.view.Zone() {
+	for _, h := range c.view.ZonePeers() {
 		s.Peers = append(s.Peers, PeerStatus{Host: h.ID, Zone: h.Zone, Addr: h.Addr, Alive: c.view.Alive(c.now, h.ID)})
 	}
 	for _, k := range c.groupKeys() {
@@ -111,7 +111,7 @@
 	}
 	for _, q := range c.suspects.ledger.Quarantined() {
 		s.Quarantined = append(s.Quarantined, QuarantineStatus{Digest: q.Digest.String(), Workspace: q.Workspace, Ends: len(q.Ends),
-			AgeMS: (c.now - q.Ends[len(q.Ends)-1].At).Milliseconds(), BackMS: max(0, q.TrialAt()-c.now).Milliseconds()})
+			AgeMS: (c.now - q.Ends[len(q.Ends)-1].At).Milliseconds(), NextTrialMS: max(0, q.TrialAt()-c.now).Milliseconds()})
 	}
 	return s
 }
--- a/internal/core/suspects.go
+++ b/internal/core/suspects.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// oneEnd is how far apart hosts may see one end of a backend server: it takes longer to start again.
-	oneEnd = 2 * time.Second
-	// tellers are the hosts of a zone that tell it all that is known of suspects.
-	tellers = 2
-	// expireSuspectsEvery paces the forgetting.
-	expireSuspectsEvery = 10 * time.Second
-	// trialFor is how long another trial of the same request waits for the outcome of one.
-	trialFor = 15 * time.Second
+	// sameEndWindow is how far apart hosts may see one end of a backend server: it takes longer to start again.
+	sameEndWindow = 2 * time.Second
+	// suspectReporters are the hosts of a zone that tell it all that is known of suspects.
+	suspectReporters = 2
+	// suspectExpiryInterval paces the forgetting.
+	suspectExpiryInterval = 10 * time.Second
+	// trialTimeout is how long another trial of the same request waits for the outcome of one.
+	trialTimeout = 15 * time.Second
 )
 
 // suspectState is what this host knows of requests that end backend servers.
 type suspectState struct {
-	ledger          *quarantine.Ledger
-	allAt, expireAt time.Duration
+	ledger                 *quarantine.Ledger
+	fullReportAt, expireAt time.Duration
 }
 
 func newSuspectState() suspectState {
-	return suspectState{ledger: quarantine.NewLedgerOfNames(oneEnd)}
+	return suspectState{ledger: quarantine.NewLedgerOfNames(sameEndWindow)}
 }
 
-// learnOfRequest takes what the end of a dispatch says of the request itself. The same request in the hands of one backend
+// recordOutcome takes what the end of a dispatch says of the request itself. The same request in the hands of one backend
 // server after another that ends is most likely what ends them, and its callers repeat it at any host.
-func (c *Core) learnOfRequest(r *request, e Ended) {
+func (c *Core) recordOutcome(r *request, e Ended) {
 	switch {
 	case e.Outcome == Done:
 		c.suspects.ledger.Ran(c.now, r.Digest)
@@ -57,38 +57,38 @@
 	return fault.New(fault.Quarantined, "request %s has ended %d backend servers", r.Digest, len(found.Ends)).After(max(time.Second, found.TrialAt()-c.now))
 }
 
-// trial tells whether a new request in quarantine may run all the same, to show whether it does harm. One host of the fleet
+// allowTrial tells whether a new request in quarantine may run all the same, to show whether it does harm. One host of the fleet
 // lets it run now and then: an innocent one would otherwise be refused for a day.
-func (c *Core) trial(d quarantine.Digest) bool {
+func (c *Core) allowTrial(d quarantine.Digest) bool {
 	found := c.suspects.ledger.Blamed(d)
-	return found != nil && c.tries(d) && c.suspects.ledger.Try(c.now, found, trialFor)
+	return found != nil && c.isTrialHost(d) && c.suspects.ledger.Try(c.now, found, trialTimeout)
 }
 
-// tries tells whether this host is the one to let a request in quarantine run.
-func (c *Core) tries(d quarantine.Digest) bool {
+// isTrialHost tells whether this host is the one to let a request in quarantine run.
+func (c *Core) isTrialHost(d quarantine.Digest) bool {
 	zones := []string{c.opt.Self.Zone}
 	for _, zone := range c.view.OtherZones() {
-		if z, ok := c.gossip.zones[zone]; ok && c.now-z.at <= digestStale {
+		if z, ok := c.gossip.zones[zone]; ok && c.now-z.at <= digestTTL {
 			zones = append(zones, zone)
 		}
 	}
 	purpose := "tries/" + d.String()
-	return member.Owner(purpose, zones) == c.opt.Self.Zone && member.Owner(purpose, c.duty.live) == c.opt.Self.ID
+	return member.Owner(purpose, zones) == c.opt.Self.Zone && member.Owner(purpose, c.roles.live) == c.opt.Self.ID
 }
 
-// ownSuspects are what heartbeats tell of requests: what this host has newly seen, or all where it is to tell that now.
-func (c *Core) ownSuspects() []*quarantinepb.Suspect {
-	if c.now < c.suspects.allAt || !slices.Contains(member.Top("tells suspects", c.duty.live, tellers), c.opt.Self.ID) {
+// suspectsToReport are what heartbeats tell of requests: what this host has newly seen, or all where it is to tell that now.
+func (c *Core) suspectsToReport() []*quarantinepb.Suspect {
+	if c.now < c.suspects.fullReportAt || !slices.Contains(member.Top("tells suspects", c.roles.live, suspectReporters), c.opt.Self.ID) {
 		return c.suspects.ledger.OwnNews(c.now)
 	}
-	c.suspects.allAt = c.now + quarantine.TellAllEvery
+	c.suspects.fullReportAt = c.now + quarantine.TellAllEvery
 	return c.suspects.ledger.All(c.now)
 }
 
 // expireSuspects forgets what is old.
 func (c *Core) expireSuspects() {
 	if c.now >= c.suspects.expireAt {
-		c.suspects.expireAt = c.now + expireSuspectsEvery
+		c.suspects.expireAt = c.now + suspectExpiryInterval
 		c.suspects.ledger.Expire(c.now)
 	}
 }
--- a/internal/core/wake.go
+++ b/internal/core/wake.go
@@ -14,52 +14,52 @@
 	"fireflyshift/internal/sched"
 )
 
-// wakeHeap orders requests by the next moment at which time itself is an event for them.
-type wakeHeap = *indexheap.Heap[*request]
+// timerHeap orders requests by the next moment at which time itself is an event for them.
+type timerHeap = *indexheap.Heap[*request]
 
-func newWakeHeap() wakeHeap {
+func newTimerHeap() timerHeap {
 	less := func(a, b *request) bool {
-		if a.wake != b.wake {
-			return a.wake < b.wake
+		if a.timerAt != b.timerAt {
+			return a.timerAt < b.timerAt
 		}
 		return a.number < b.number
 	}
-	return indexheap.New(less, func(r *request, i int) { r.index = i })
+	return indexheap.New(less, func(r *request, i int) { r.heapIndex = i })
 }
 
 func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
-// wakeAt sets the next moment to look at a request, its deadline at the latest.
-func (c *Core) wakeAt(r *request, at time.Duration) {
-	r.wake = min(at, r.deadline)
-	c.entry.wakes.Fix(r.index)
+// setTimer sets the next moment to look at a request, its deadline at the latest.
+func (c *Core) setTimer(r *request, at time.Duration) {
+	r.timerAt = min(at, r.deadline)
+	c.entry.timers.Fix(r.heapIndex)
 }
 
 func (c *Core) tickEntry() {
-	for c.entry.wakes.Len() > 0 && c.entry.wakes.Min().wake <= c.now {
-		c.woken(c.entry.wakes.Min())
+	for c.entry.timers.Len() > 0 && c.entry.timers.Min().timerAt <= c.now {
+		c.timerFired(c.entry.timers.Min())
 		c.deliverLocal()
 	}
-	if c.now-c.entry.heldAt >= holdEvery {
-		c.entry.heldAt = c.now
-		c.sendFarHoldings()
+	if c.now-c.entry.holdingsAt >= holdingsInterval {
+		c.entry.holdingsAt = c.now
+		c.sendRemoteHoldings()
 	}
 }
 
-func (c *Core) woken(r *request) {
+func (c *Core) timerFired(r *request) {
 	if c.now >= r.deadline {
 		c.pastDeadline(r)
 		return
 	}
 	switch r.phase {
 	case claiming:
-		c.claimAgain(r)
-	case seeking:
-		c.seekAgain(r)
-	case pausing:
-		c.seek(r)
+		c.retryClaim(r)
+	case waitingForSlot:
+		c.retrySlotRequest(r)
+	case backingOff:
+		c.requestSlot(r)
 	default:
-		c.wakeAt(r, r.deadline)
+		c.setTimer(r, r.deadline)
 	}
 }
 
@@ -79,38 +79,38 @@
 	}
 }
 
-// askAgain repeats what a cut link may have lost.
-func (c *Core) askAgain(host string) {
-	for _, r := range c.requestsWhere(func(r *request) bool { return r.phase == seeking && r.target.scheduler == host }) {
+// resendAcquires repeats what a cut link may have lost.
+func (c *Core) resendAcquires(host string) {
+	for _, r := range c.requestsWhere(func(r *request) bool { return r.phase == waitingForSlot && r.target.scheduler == host }) {
 		c.sendAcquire(r)
 	}
 }
 
-// regroup follows running requests whose backend server is dealt to another group.
-func (c *Core) regroup() {
+// updateTargets follows running requests whose backend server is dealt to another group.
+func (c *Core) updateTargets() {
 	for _, r := range c.entry.requests {
-		k, ok := c.duty.groupOf[r.backend]
-		if r.runs() && ok && k != r.target.group {
-			r.target = target{k, c.duty.owners[k], c.opt.Self.Zone}
+		k, ok := c.roles.groupOf[r.backend]
+		if r.isRunning() && ok && k != r.target.group {
+			r.target = target{k, c.roles.schedulers[k], c.opt.Self.Zone}
 		}
 	}
 }
 
-// ownerChanged moves what waits for a group to its new scheduler and tells it what runs.
-func (c *Core) ownerChanged(k GroupKey) {
+// schedulerChanged moves what waits for a group to its new scheduler and tells it what runs.
+func (c *Core) schedulerChanged(k GroupKey) {
 	moved := c.requestsWhere(func(r *request) bool {
-		return r.target.group == k && r.target.zone == c.opt.Self.Zone && r.target.scheduler != c.duty.owners[k]
+		return r.target.group == k && r.target.zone == c.opt.Self.Zone && r.target.scheduler != c.roles.schedulers[k]
 	})
 	for _, r := range moved {
 		switch r.phase {
-		case seeking:
+		case waitingForSlot:
 			c.abandon(r)
-			c.seek(r)
+			c.requestSlot(r)
 		case dispatched, suspending:
-			r.target.scheduler = c.duty.owners[k]
+			r.target.scheduler = c.roles.schedulers[k]
 		}
 	}
-	if owner := c.duty.owners[k]; owner != "" {
+	if owner := c.roles.schedulers[k]; owner != "" {
 		c.sendHoldings(target{k, owner, c.opt.Self.Zone})
 	}
 }
@@ -131,14 +131,14 @@
 	return out
 }
 
-func (r *request) runs() bool { return r.phase == dispatched || r.phase == suspending }
+func (r *request) isRunning() bool { return r.phase == dispatched || r.phase == suspending }
 
-// sendFarHoldings tells the schedulers of other zones what this host runs under them. Those of this
+// sendRemoteHoldings tells the schedulers of other zones what this host runs under them. Those of this
 // zone hear it as a digest in each heartbeat.
-func (c *Core) sendFarHoldings() {
+func (c *Core) sendRemoteHoldings() {
 	now := map[target]bool{}
 	for _, r := range c.entry.requests {
-		if r.runs() && r.target.zone != c.opt.Self.Zone {
+		if r.isRunning() && r.target.zone != c.opt.Self.Zone {
 			now[r.target] = true
 		}
 	}
@@ -146,7 +146,7 @@
 	for t := range now {
 		all = append(all, t)
 	}
-	for t := range c.entry.held {
+	for t := range c.entry.reportedTo {
 		if !now[t] {
 			all = append(all, t) // hears of the end once more, in case a Release was lost
 		}
@@ -155,18 +155,18 @@
 	for _, t := range all {
 		c.sendHoldings(t)
 	}
-	c.entry.held = now
+	c.entry.reportedTo = now
 }
 
 func (t target) key() string {
 	return fmt.Sprintf("%s/%s/%d", t.scheduler, t.group.Service, t.group.Shard)
 }
 
-// heldUnder sums up what this host runs under each group of its own zone.
-func (c *Core) heldUnder() map[GroupKey]*peerpb.HeldDigest {
+// heldDigests sums up what this host runs under each group of its own zone.
+func (c *Core) heldDigests() map[GroupKey]*peerpb.HeldDigest {
 	out := map[GroupKey]*peerpb.HeldDigest{}
 	for _, r := range c.entry.requests {
-		if !r.runs() || r.target.zone != c.opt.Self.Zone {
+		if !r.isRunning() || r.target.zone != c.opt.Self.Zone {
 			continue
 		}
 		d, ok := out[r.target.group]
@@ -175,16 +175,16 @@
 			out[r.target.group] = d
 		}
 		d.Count++
-		d.Digest ^= sched.HeldStamp(r.number, r.attempt)
+		d.Digest ^= sched.RunHash(r.number, r.attempt)
 	}
 	return out
 }
 
-// heldBy lists, of these, the digests for one scheduler.
-func (c *Core) heldBy(all map[GroupKey]*peerpb.HeldDigest, scheduler string) []*peerpb.HeldDigest {
+// heldDigestsFor lists, of these, the digests for one scheduler.
+func (c *Core) heldDigestsFor(all map[GroupKey]*peerpb.HeldDigest, scheduler string) []*peerpb.HeldDigest {
 	var keys []GroupKey
 	for k := range all {
-		if c.duty.owners[k] == scheduler {
+		if c.roles.schedulers[k] == scheduler {
 			keys = append(keys, k)
 		}
 	}
@@ -202,7 +202,7 @@
 
 func (c *Core) sendHoldings(t target) {
 	m := &peerpb.Holdings{Service: t.group.Service, Shard: t.group.Shard, SentMs: c.nowMS()}
-	for _, r := range c.requestsWhere(func(r *request) bool { return r.runs() && r.target == t }) {
+	for _, r := range c.requestsWhere(func(r *request) bool { return r.isRunning() && r.target == t }) {
 		m.Held = append(m.Held, &peerpb.Held{Request: r.number, Attempt: r.attempt, Backend: r.backend, Priority: r.Priority,
 			Workspace: r.Workspace, OutputTokens: r.OutputTokens, NonIdempotent: r.NonIdempotent})
 	}
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -377,7 +377,7 @@
 // advance lets time pass in ticks of the daemon.
 func (w *world) advance(d time.Duration) {
 	for until := w.now + d; w.now < until; {
-		w.now += core.TickEvery
+		w.now += core.TickInterval
 		if w.disturbed() {
 			w.quietAt = w.now
 		}
@@ -499,8 +499,8 @@
 	if w.now >= h.tickAt {
 		w.feed(h, core.Tick{})
 		h.tickAt = w.now + h.core.NextTick()
-	} else if h.core.NextTick() == core.TickEvery {
-		h.tickAt = min(h.tickAt, w.now+core.TickEvery)
+	} else if h.core.NextTick() == core.TickInterval {
+		h.tickAt = min(h.tickAt, w.now+core.TickInterval)
 	}
 	if h.reading && w.now-h.readAt >= 100*time.Millisecond {
 		h.readAt = w.now
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -103,14 +103,14 @@
 	w := tabwriter.NewWriter(t.Out, 0, 4, 2, ' ', 0)
 	head := false
 	for _, r := range reports {
-		if r.Status == nil || len(r.Status.Beliefs) == 0 {
+		if r.Status == nil || len(r.Status.Backends) == 0 {
 			continue
 		}
 		if !head {
 			head = true
 			fmt.Fprintln(w, "\nHOST\tSTORE AGE\tERA\tBACKEND SERVER\tSERVICE\tZONE\tADDRESS\tSTATE\tOWNER\tOWN\tOTHERS\tSLOTS\tINTERVAL")
 		}
-		for _, b := range r.Status.Beliefs {
+		for _, b := range r.Status.Backends {
 			fmt.Fprintf(w, "%s\t%d ms\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%.1f ms\n", r.Status.Host, r.Status.StoreAgeMS, r.Status.StoreEra, b.Name, b.Service,
 				b.Zone, b.Addr, b.State, cmp.Or(b.Owner, "-"), b.Own, b.Others, b.Slots, b.IntervalMS)
 		}
@@ -131,7 +131,7 @@
 			}
 			shown[q.Digest] = true
 			fmt.Fprintf(t.Out, "quarantined request %s of workspace %s: %d backend servers ended under it, the latest %d s ago; one host lets it run again in %d s\n",
-				q.Digest, cmp.Or(q.Workspace, "-"), q.Ends, q.AgeMS/1000, q.BackMS/1000)
+				q.Digest, cmp.Or(q.Workspace, "-"), q.Ends, q.AgeMS/1000, q.NextTrialMS/1000)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 	}
 	answered := 0
 	for _, addr := range t.Hosts {
-		var trail []core.Hop
+		var trail []core.TraceEvent
 		code, err := get(ctx, addr, "/explain/"+id, &trail)
 		if err == nil {
 			t.printTrail(addr, trail)
@@ -245,7 +245,7 @@
 	return ExitFailed
 }
 
-func (t *Tool) printTrail(addr string, trail []core.Hop) {
+func (t *Tool) printTrail(addr string, trail []core.TraceEvent) {
 	if t.JSON {
 		t.writeJSON(map[string]any{"admin": addr, "trail": trail})
 		return
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -105,7 +105,7 @@
 // run is the control thread.
 func (c *control) run(ctx context.Context) {
 	defer close(c.done)
-	timer := time.NewTimer(core.TickEvery)
+	timer := time.NewTimer(core.TickInterval)
 	defer timer.Stop()
 	latest := c.Now()
 	next := latest
@@ -115,9 +115,9 @@
 			return
 		case e := <-c.queue:
 			c.step(e)
-			if soon := c.Now() + core.TickEvery; soon < next && c.core.NextTick() == core.TickEvery {
+			if soon := c.Now() + core.TickInterval; soon < next && c.core.NextTick() == core.TickInterval {
 				next = soon
-				timer.Reset(core.TickEvery)
+				timer.Reset(core.TickInterval)
 			}
 		case <-timer.C:
 			if gap := c.Now() - latest; gap > lateTick {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -269,8 +269,8 @@
 }
 
 // Explain implements admin.Source.
-func (d *Daemon) Explain(id string) ([]core.Hop, bool) {
-	var trail []core.Hop
-	ok := d.control.query(queryTimeout, func(c *core.Core) { trail = append(trail, c.Trail(id)...) })
+func (d *Daemon) Explain(id string) ([]core.TraceEvent, bool) {
+	var trail []core.TraceEvent
+	ok := d.control.query(queryTimeout, func(c *core.Core) { trail = append(trail, c.RequestTrace(id)...) })
 	return trail, ok
 }
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -69,13 +69,13 @@
 // timed tells the scheduler how the dispatch went, for its estimates.
 func (m *modelAttempt) timed(e core.Ended) core.Ended {
 	t := &m.tokens
-	e.FirstToken, e.Interval, e.Tokens = t.First(), t.Interval(), uint32(t.Pieces)
+	e.FirstToken, e.Interval, e.Tokens = t.FirstChunk(), t.Interval(), uint32(t.Chunks)
 	return e
 }
 
 func (m *modelAttempt) run(ctx context.Context, d core.Dispatch) core.Ended {
 	m.addr = d.Backend.Addr
-	m.tokens = timing.Stream{Began: time.Now()}
+	m.tokens = timing.Stream{StartedAt: time.Now()}
 	m.dropOldExport()
 	m.sink.setBackend(d.Backend.Name)
 	st, sent, err := m.open(ctx, d)
@@ -194,7 +194,7 @@
 			finished = true
 		} else {
 			m.offset++
-			m.tokens.Piece(time.Now())
+			m.tokens.AddChunk(time.Now())
 		}
 		if err := m.sink.chunk(c); err != nil {
 			return core.Ended{Outcome: core.Canceled}, false
--- a/internal/edge/flight.go
+++ b/internal/edge/flight.go
@@ -65,7 +65,7 @@
 			s.control.Post(e)
 		case <-gone:
 			gone = nil
-			s.control.Post(core.Gone{ID: sub.ID})
+			s.control.Post(core.CallerGone{ID: sub.ID})
 		}
 	}
 }
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -80,7 +80,7 @@
 func (f *flight) carryStream(resp *upstream.Response, sentAt time.Time) router.DispatchEnded {
 	rc := http.NewResponseController(f.w)
 	events := newEventReader(resp)
-	t := &timing.Stream{Began: sentAt}
+	t := &timing.Stream{StartedAt: sentAt}
 	for {
 		chunk, err := events.next()
 		if err == io.EOF {
@@ -94,11 +94,11 @@
 			end.Delivered = f.headWritten
 			return timed(end, t)
 		}
-		if t.Pieces == 0 {
+		if t.Chunks == 0 {
 			_, next := f.stall()
 			resp.SetStall(next)
 		}
-		before := t.Pieces
+		before := t.Chunks
 		out := f.fresh(chunk, t)
 		f.tellSpeed(before, t)
 		if len(out) == 0 {
@@ -124,7 +124,7 @@
 func (f *flight) fresh(chunk []byte, t *timing.Stream) []byte {
 	skip, end := 0, 0
 	cutEvents(chunk, func(event []byte, id int64) {
-		t.Piece(time.Now())
+		t.AddChunk(time.Now())
 		end += len(event)
 		switch {
 		case id < 0:
@@ -142,16 +142,16 @@
 
 // tellSpeed tells the reducer that a stream begins, and how fast it goes.
 func (f *flight) tellSpeed(before int, t *timing.Stream) {
-	if before == 0 && t.Pieces > 0 {
-		f.g.control.Post(router.StreamStarted{ID: f.id, First: t.First()})
+	if before == 0 && t.Chunks > 0 {
+		f.g.control.Post(router.StreamStarted{ID: f.id, First: t.FirstChunk()})
 	}
-	if before < pacedAfter && t.Pieces >= pacedAfter {
+	if before < pacedAfter && t.Chunks >= pacedAfter {
 		f.g.control.Post(router.StreamProgress{ID: f.id, Interval: t.Interval()})
 	}
 }
 
 // timed tells the reducer how the stream went, for its estimates.
 func timed(e router.DispatchEnded, t *timing.Stream) router.DispatchEnded {
-	e.Events, e.First, e.Interval = t.Pieces, t.First(), t.Interval()
+	e.Events, e.First, e.Interval = t.Chunks, t.FirstChunk(), t.Interval()
 	return e
 }
--- a/internal/gateway/trail.go
+++ b/internal/gateway/trail.go
@@ -14,11 +14,11 @@
 // trails keep the steps of the latest requests, by the caller's attempt id.
 type trails struct {
 	mu    sync.Mutex
-	byID  map[string][]core.Hop
+	byID  map[string][]core.TraceEvent
 	order []string
 }
 
-func newTrails() *trails { return &trails{byID: map[string][]core.Hop{}} }
+func newTrails() *trails { return &trails{byID: map[string][]core.TraceEvent{}} }
 
 func (t *trails) add(id string, at time.Duration, format string, args ...any) {
 	t.mu.Lock()
@@ -30,12 +30,12 @@
 			t.order = t.order[1:]
 		}
 	}
-	t.byID[id] = append(t.byID[id], core.Hop{At: at, What: fmt.Sprintf(format, args...)})
+	t.byID[id] = append(t.byID[id], core.TraceEvent{At: at, What: fmt.Sprintf(format, args...)})
 }
 
 // Trail tells the steps of a request that this host lately held.
-func (g *Gateway) Trail(id string) []core.Hop {
+func (g *Gateway) Trail(id string) []core.TraceEvent {
 	g.trails.mu.Lock()
 	defer g.trails.mu.Unlock()
-	return append([]core.Hop(nil), g.trails.byID[id]...)
+	return append([]core.TraceEvent(nil), g.trails.byID[id]...)
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -14,16 +14,16 @@
 const (
 	// Heartbeats slow down as a zone grows, so that their bytes per host stay level.
 	intervalPerHost = 25 * time.Millisecond
-	intervalLeast   = 200 * time.Millisecond
-	intervalMost    = 2 * time.Second
+	minInterval     = 200 * time.Millisecond
+	maxInterval     = 2 * time.Second
 	// A host is dead for duties after deadIntervals without a heartbeat and a little more, or
 	// unlinkedGrace after its last link broke: a process that dies closes its links at once, and
 	// only a dead machine or a cut has to be waited for.
 	deadIntervals = 4
-	deadExtra     = 400 * time.Millisecond
+	deadMargin    = 400 * time.Millisecond
 	unlinkedGrace = 300 * time.Millisecond
-	// ListedGrace keeps an unlisted host that still sends heartbeats: the platform's list lags.
-	ListedGrace = 30 * time.Second
+	// UnlistedTTL keeps an unlisted host that still sends heartbeats: the platform's list lags.
+	UnlistedTTL = 30 * time.Second
 )
 
 // Host is what the platform's list, the settings or a link say of a host.
@@ -37,16 +37,16 @@
 // peer is the live state of another host.
 type peer struct {
 	Host
-	listed      bool
-	incarnation uint64
-	heardAt     time.Duration
-	heard       bool
-	seenAt      time.Duration // latest link or heartbeat
-	echo        uint64        // the peer's clock in its latest heartbeat, ms
-	draining    bool          // takes no duties while another host does
-	catchingUp  bool
-	links       int // open links from the peer
-	unlinkedAt  time.Duration
+	listed       bool
+	incarnation  uint64
+	heartbeatAt  time.Duration
+	hasHeartbeat bool
+	lastSeenAt   time.Duration // latest link or heartbeat
+	echo         uint64        // the peer's clock in its latest heartbeat, ms
+	draining     bool          // takes no duties while another host does
+	catchingUp   bool
+	links        int // open links from the peer
+	unlinkedAt   time.Duration
 }
 
 // View is one host's membership view. It is not safe for concurrent use.
@@ -54,11 +54,11 @@
 	self     Host
 	draining bool
 	// catchingUp keeps duties away from this host while what it knows may be of before a pause.
-	catchingUp bool
-	peers      map[string]*peer
-	version    uint64
-	listed     int
-	zoneSize   int
+	catchingUp  bool
+	peers       map[string]*peer
+	version     uint64
+	listedCount int
+	zoneSize    int
 }
 
 // NewView returns a view that knows only the host itself.
@@ -76,10 +76,10 @@
 		if h.ID == v.self.ID {
 			continue
 		}
-		p := v.at(h.ID)
+		p := v.getOrAdd(h.ID)
 		p.Host, p.listed = h, true
 	}
-	v.listed = len(hosts)
+	v.listedCount = len(hosts)
 	v.version++
 	v.countZone()
 }
@@ -93,28 +93,28 @@
 	}
 }
 
-// Interval is the time between heartbeats.
-func (v *View) Interval() time.Duration {
-	return min(max(time.Duration(v.zoneSize)*intervalPerHost, intervalLeast), intervalMost)
+// HeartbeatInterval is the time between heartbeats.
+func (v *View) HeartbeatInterval() time.Duration {
+	return min(max(time.Duration(v.zoneSize)*intervalPerHost, minInterval), maxInterval)
 }
 
 // DeadAfter is how long a linked host may be silent.
-func (v *View) DeadAfter() time.Duration { return deadIntervals*v.Interval() + deadExtra }
+func (v *View) DeadAfter() time.Duration { return deadIntervals*v.HeartbeatInterval() + deadMargin }
 
-// Learn adds a host that opened a link to us. The incarnation of the latest link counts: it is
+// Linked adds a host that opened a link to us. The incarnation of the latest link counts: it is
 // random, so a clock set back on the peer cannot make a restarted host look old.
-func (v *View) Learn(now time.Duration, h Host, incarnation uint64) {
+func (v *View) Linked(now time.Duration, h Host, incarnation uint64) {
 	if h.ID == v.self.ID {
 		return
 	}
-	p := v.at(h.ID)
+	p := v.getOrAdd(h.ID)
 	if incarnation != p.incarnation {
-		p.echo, p.heard, p.links = 0, false, 0
+		p.echo, p.hasHeartbeat, p.links = 0, false, 0
 		v.version++
 	}
 	p.links++
 	p.incarnation = incarnation
-	p.seenAt = now
+	p.lastSeenAt = now
 	p.Addr, p.Zone = h.Addr, h.Zone
 	v.countZone()
 }
@@ -129,7 +129,7 @@
 	p.unlinkedAt = now
 }
 
-func (v *View) at(id string) *peer {
+func (v *View) getOrAdd(id string) *peer {
 	p, ok := v.peers[id]
 	if !ok {
 		p = &peer{Host: Host{ID: id}}
@@ -138,14 +138,14 @@
 	return p
 }
 
-// Heard notes a heartbeat: it was sent when the peer's clock showed sentMS.
-func (v *View) Heard(now time.Duration, id string, incarnation, sentMS uint64, draining bool) {
+// HeartbeatReceived notes a heartbeat: it was sent when the peer's clock showed sentMS.
+func (v *View) HeartbeatReceived(now time.Duration, id string, incarnation, sentMS uint64, draining bool) {
 	p, ok := v.peers[id]
 	if !ok || p.incarnation != incarnation {
 		return
 	}
 	was := v.alive(now, p)
-	p.heard, p.heardAt, p.seenAt, p.draining = true, now, now, draining
+	p.hasHeartbeat, p.heartbeatAt, p.lastSeenAt, p.draining = true, now, now, draining
 	if sentMS > p.echo {
 		p.echo = sentMS
 	}
@@ -178,20 +178,20 @@
 // CatchingUp tells what SetCatchingUp was last told.
 func (v *View) CatchingUp() bool { return v.catchingUp }
 
-// Slept takes a pause of this process off the silence of the others: nothing could be heard in it, so that it
+// ExcludePause takes a pause of this process off the silence of the others: nothing could be heard in it, so that it
 // says nothing of who lives.
-func (v *View) Slept(pause time.Duration) {
+func (v *View) ExcludePause(pause time.Duration) {
 	for _, p := range v.peers {
-		p.heardAt += pause
-		p.seenAt += pause
+		p.heartbeatAt += pause
+		p.lastSeenAt += pause
 		if p.links == 0 {
 			p.unlinkedAt += pause
 		}
 	}
 }
 
-// takesDuties tells whether this host itself counts for duties.
-func (v *View) takesDuties() bool { return !v.draining && !v.catchingUp }
+// takesRoles tells whether this host itself counts for duties.
+func (v *View) takesRoles() bool { return !v.draining && !v.catchingUp }
 
 // SetDraining marks this host itself as leaving.
 func (v *View) SetDraining() {
@@ -205,13 +205,13 @@
 
 func (v *View) reachable(now time.Duration, p *peer) bool {
 	linked := p.links > 0 || now-p.unlinkedAt <= unlinkedGrace
-	return p.heard && linked && now-p.heardAt <= v.DeadAfter()
+	return p.hasHeartbeat && linked && now-p.heartbeatAt <= v.DeadAfter()
 }
 
 // Alive tells whether a host answers heartbeats and takes duties.
 func (v *View) Alive(now time.Duration, id string) bool {
 	if id == v.self.ID {
-		return v.takesDuties()
+		return v.takesRoles()
 	}
 	p, ok := v.peers[id]
 	return ok && v.alive(now, p)
@@ -226,8 +226,8 @@
 	return ok && v.reachable(now, p)
 }
 
-// Known finds a host by id.
-func (v *View) Known(id string) (Host, bool) {
+// Lookup finds a host by id.
+func (v *View) Lookup(id string) (Host, bool) {
 	if id == v.self.ID {
 		return v.self, true
 	}
@@ -238,14 +238,14 @@
 	return p.Host, true
 }
 
-// Zone lists the other hosts of this availability zone, by id.
-func (v *View) Zone() []Host {
-	return v.pick(func(p *peer) bool { return p.Zone == v.self.Zone })
+// ZonePeers lists the other hosts of this availability zone, by id.
+func (v *View) ZonePeers() []Host {
+	return v.hostsWhere(func(p *peer) bool { return p.Zone == v.self.Zone })
 }
 
 // InZone lists the known hosts of any availability zone but ours, by id.
 func (v *View) InZone(zone string) []Host {
-	return v.pick(func(p *peer) bool { return p.Zone == zone && !p.Leaving })
+	return v.hostsWhere(func(p *peer) bool { return p.Zone == zone && !p.Leaving })
 }
 
 // OtherZones lists the other availability zones that have hosts, by name.
@@ -262,7 +262,7 @@
 	return out
 }
 
-func (v *View) pick(want func(*peer) bool) []Host {
+func (v *View) hostsWhere(want func(*peer) bool) []Host {
 	var out []Host
 	for _, p := range v.peers {
 		if p.Addr != "" && want(p) {
@@ -273,8 +273,8 @@
 	return out
 }
 
-// NoteCatchingUp notes whether a peer may know only what was before a pause.
-func (v *View) NoteCatchingUp(id string, on bool) {
+// SetPeerCatchingUp notes whether a peer may know only what was before a pause.
+func (v *View) SetPeerCatchingUp(id string, on bool) {
 	if p, ok := v.peers[id]; ok {
 		p.catchingUp = on
 	}
@@ -283,7 +283,7 @@
 // Live lists the ids of the hosts of this zone that take duties, by id. Where all drain they keep their duties: what
 // waits with them would wait for good.
 func (v *View) Live(now time.Duration) []string {
-	if live := v.zoneIDs(v.takesDuties(), func(p *peer) bool { return v.alive(now, p) }); len(live) > 0 {
+	if live := v.zoneIDs(v.takesRoles(), func(p *peer) bool { return v.alive(now, p) }); len(live) > 0 {
 		return live
 	}
 	return v.zoneIDs(!v.catchingUp, func(p *peer) bool { return v.reachable(now, p) && !p.catchingUp })
@@ -307,16 +307,16 @@
 // list and not from heartbeats: during a partition heartbeats would count few hosts on each side,
 // and each side would hand out the whole limit.
 func (v *View) FleetSize() int {
-	if v.listed > 0 {
-		return v.listed
+	if v.listedCount > 0 {
+		return v.listedCount
 	}
 	return len(v.peers) + 1
 }
 
-// Forget drops hosts that are neither listed nor heard for ListedGrace.
-func (v *View) Forget(now time.Duration) {
+// DropStale drops hosts that are neither listed nor heard for ListedGrace.
+func (v *View) DropStale(now time.Duration) {
 	for id, p := range v.peers {
-		if !p.listed && now-p.seenAt > ListedGrace {
+		if !p.listed && now-p.lastSeenAt > UnlistedTTL {
 			delete(v.peers, id)
 		}
 	}
@@ -327,14 +327,14 @@
 func (v *View) Version() uint64 { return v.version }
 
 // Top returns the n hosts that rank first for a duty, best first (rendezvous hashing).
-func Top(duty string, hosts []string, n int) []string {
+func Top(role string, hosts []string, n int) []string {
 	type ranked struct {
 		id    string
 		score uint64
 	}
 	all := make([]ranked, len(hosts))
 	for i, id := range hosts {
-		all[i] = ranked{id, xxhash.Sum64String(duty + "\x00" + id)}
+		all[i] = ranked{id, xxhash.Sum64String(role + "\x00" + id)}
 	}
 	sort.Slice(all, func(i, j int) bool {
 		if all[i].score != all[j].score {
@@ -350,17 +350,17 @@
 }
 
 // Owner returns the host that ranks first for a duty, empty if there is none.
-func Owner(duty string, hosts []string) string {
-	top := Top(duty, hosts, 1)
+func Owner(role string, hosts []string) string {
+	top := Top(role, hosts, 1)
 	if len(top) == 0 {
 		return ""
 	}
 	return top[0]
 }
 
-// NoteEcho keeps a peer's clock reading that came with another message than a heartbeat: hosts of
+// UpdateEcho keeps a peer's clock reading that came with another message than a heartbeat: hosts of
 // other zones send none, and have leases too.
-func (v *View) NoteEcho(id string, sentMS uint64) {
+func (v *View) UpdateEcho(id string, sentMS uint64) {
 	if p, ok := v.peers[id]; ok && sentMS > p.echo {
 		p.echo = sentMS
 	}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -16,8 +16,8 @@
 	}
 	v.SetList(list)
 	for _, h := range list[1:] {
-		v.Learn(0, h, 1)
-		v.Heard(0, h.ID, 1, 1, false)
+		v.Linked(0, h, 1)
+		v.HeartbeatReceived(0, h.ID, 1, 1, false)
 	}
 	return v
 }
@@ -29,7 +29,7 @@
 	v.Unlinked(0, "h1", 1)
 	require.Equal(t, []string{"h0", "h1", "h2"}, v.Live(unlinkedGrace), "a link may break and come back")
 	require.Equal(t, []string{"h0", "h2"}, v.Live(unlinkedGrace+1))
-	v.Learn(time.Second, Host{ID: "h1", Zone: "z", Addr: "x"}, 1)
+	v.Linked(time.Second, Host{ID: "h1", Zone: "z", Addr: "x"}, 1)
 	require.Equal(t, []string{"h0", "h1", "h2"}, v.Live(unlinkedGrace+1))
 	require.Equal(t, []string{"h0"}, v.Live(v.DeadAfter()+1), "a machine that dies closes nothing")
 }
@@ -39,7 +39,7 @@
 func TestHeartbeatsPerHostStayLevelAsAZoneGrows(t *testing.T) {
 	for _, n := range []int{8, 15, 30, 45, 80} {
 		v := testView(n)
-		perSecond := float64(n-1) / v.Interval().Seconds()
+		perSecond := float64(n-1) / v.HeartbeatInterval().Seconds()
 		require.LessOrEqual(t, perSecond, 40.0, "%d hosts", n)
 	}
 }
@@ -63,11 +63,11 @@
 func TestHostsThatAllDrainKeepTheirDuties(t *testing.T) {
 	v := testView(3)
 	v.SetDraining()
-	v.Heard(0, "h1", 1, 2, true)
+	v.HeartbeatReceived(0, "h1", 1, 2, true)
 	require.Equal(t, []string{"h2"}, v.Live(0), "one that stays has all duties")
-	v.Heard(0, "h2", 1, 2, true)
+	v.HeartbeatReceived(0, "h2", 1, 2, true)
 	require.Equal(t, []string{"h0", "h1", "h2"}, v.Live(0))
-	v.NoteCatchingUp("h2", true)
+	v.SetPeerCatchingUp("h2", true)
 	require.Equal(t, []string{"h0", "h1"}, v.Live(0))
 	v.SetCatchingUp(true)
 	require.Equal(t, []string{"h1"}, v.Live(0))
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -8,7 +8,7 @@
 // operators is what operators see of the host; it implements admin.Source.
 type operators struct {
 	node  *Node
-	trail func(id string) []core.Hop
+	trail func(id string) []core.TraceEvent
 }
 
 // Ready implements admin.Source.
@@ -18,7 +18,7 @@
 func (o operators) Healthy() bool { return o.node.control.ask(func(*router.Router) {}) }
 
 // Explain implements admin.Source.
-func (o operators) Explain(id string) ([]core.Hop, bool) { return o.trail(id), true }
+func (o operators) Explain(id string) ([]core.TraceEvent, bool) { return o.trail(id), true }
 
 // Status implements admin.Source.
 func (o operators) Status() (core.Status, bool) {
@@ -34,11 +34,11 @@
 	}
 	for _, q := range v.Quarantined {
 		s.Quarantined = append(s.Quarantined, core.QuarantineStatus{Digest: q.Digest, Workspace: q.Workspace, Ends: q.Ends,
-			AgeMS: q.Age.Milliseconds(), BackMS: q.Back.Milliseconds()})
+			AgeMS: q.Age.Milliseconds(), NextTrialMS: q.Back.Milliseconds()})
 	}
 	s.Suspects = v.Suspects
 	for _, b := range v.Backends {
-		s.Beliefs = append(s.Beliefs, core.BeliefStatus{Name: b.ID, Service: b.Service, Zone: b.Zone, Addr: b.Addr, State: b.State, Owner: b.Owner,
+		s.Backends = append(s.Backends, core.BackendStatus{Name: b.ID, Service: b.Service, Zone: b.Zone, Addr: b.Addr, State: b.State, Owner: b.Owner,
 			Own: b.Own, Others: b.Others, Slots: b.Slots, IntervalMS: float64(b.Interval.Microseconds()) / 1000})
 	}
 	return s, true
--- a/internal/sched/backend.go
+++ b/internal/sched/backend.go
@@ -8,44 +8,44 @@
 
 // Learned quantities start here until a backend server has shown its own.
 const (
-	firstInterval  = 10 * time.Millisecond  // between tokens
-	firstPrefill   = 200 * time.Microsecond // per uncached prompt token
-	ewmaGain       = 0.2
-	slowFactor     = 1.6 // interval over its own best that calls for a smaller window
-	windowDecrease = 0.85
-	baselineDrift  = 1.001 // lets the best interval follow a lasting change
-	coolDownFirst  = 500 * time.Millisecond
-	coolDownMost   = 10 * time.Second
-	fewTokens      = 128
-	tokensPerBlock = 64 // tokens in the shortest prefix that a host hashes
+	initialInterval  = 10 * time.Millisecond  // between tokens
+	initialPrefill   = 200 * time.Microsecond // per uncached prompt token
+	ewmaGain         = 0.2
+	slowFactor       = 1.6 // interval over its own best that calls for a smaller window
+	windowDecrease   = 0.85
+	baselineDrift    = 1.001 // lets the best interval follow a lasting change
+	minCoolDown      = 500 * time.Millisecond
+	maxCoolDown      = 10 * time.Second
+	minPrefillSample = 128
+	tokensPerBlock   = 64 // tokens in the shortest prefix that a host hashes
 )
 
 // run is a granted or running request.
 type run struct {
 	Held
-	uncached   float64 // prompt tokens believed not cached when it was granted; -1 if unknown
-	granted    time.Duration
-	confirmed  time.Duration // latest time that its entry host named it
-	preempted  time.Duration
-	displacing bool
-	orphanAt   time.Duration // when its entry host was lost; zero if it was not
+	uncached    float64 // prompt tokens believed not cached when it was granted; -1 if unknown
+	grantedAt   time.Duration
+	confirmedAt time.Duration // latest time that its entry host named it
+	preemptedAt time.Duration
+	displacing  bool
+	orphanedAt  time.Duration // when its entry host was lost; zero if it was not
 }
 
 // backend is what the scheduler knows of one backend server.
 type backend struct {
-	spec     record.Backend
-	runs     map[Key]*run
-	window   float64
-	interval float64 // learned, ms between tokens
-	best     float64 // the least it has shown of late
-	prefill  float64 // learned, ms per uncached prompt token
-	first    float64 // learned, ms to the first token of a cached prompt
-	samples  int
-	prefix   *prefixCache
-	failures int
-	coolTill time.Duration
-	// reported is the engine's own lagging word on its load.
-	reported int
+	spec             record.Backend
+	runs             map[Key]*run
+	window           float64
+	interval         float64 // learned, ms between tokens
+	bestInterval     float64 // the least it has shown of late
+	prefill          float64 // learned, ms per uncached prompt token
+	cachedFirstToken float64 // learned, ms to the first token of a cached prompt
+	samples          int
+	prefixes         *prefixCache
+	failures         int
+	coolUntil        time.Duration
+	// reportedLoad is the engine's own lagging word on its load.
+	reportedLoad int
 }
 
 func newBackend(spec record.Backend) *backend {
@@ -53,9 +53,9 @@
 		spec:     spec,
 		runs:     map[Key]*run{},
 		window:   float64(spec.Slots),
-		interval: ms(firstInterval),
-		prefill:  ms(firstPrefill),
-		prefix:   newPrefixCache(),
+		interval: ms(initialInterval),
+		prefill:  ms(initialPrefill),
+		prefixes: newPrefixCache(),
 	}
 }
 
@@ -77,18 +77,18 @@
 	if r.Resume {
 		return 0
 	}
-	return float64(r.PromptTokens) - float64(b.prefix.matched(r.Prefix, r.PromptTokens))
+	return float64(r.PromptTokens) - float64(b.prefixes.matched(r.Prefix, r.PromptTokens))
 }
 
 // estimate is the time that a request would take from grant to last token, in ms. A share of the
 // output bound is expected, since most answers end before their bound.
 func (b *backend) estimate(r *Request, share float64) float64 {
-	return b.first + b.uncached(r)*b.prefill + float64(r.OutputTokens)*share*b.interval
+	return b.cachedFirstToken + b.uncached(r)*b.prefill + float64(r.OutputTokens)*share*b.interval
 }
 
-// shown is the estimate once the server has shown its pace, zero before: a guess may order servers,
+// measuredEstimate is the estimate once the server has measuredEstimate its pace, zero before: a guess may order servers,
 // but must never refuse a request.
-func (b *backend) shown(r *Request, share float64) float64 {
+func (b *backend) measuredEstimate(r *Request, share float64) float64 {
 	if b.samples == 0 {
 		return 0
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	b.failures = 0
-	b.learnFirst(res, uncached)
+	b.learnPrefill(res, uncached)
 	if res.Interval <= 0 {
 		return
 	}
@@ -119,14 +119,14 @@
 	}
 	b.samples++
 	b.interval += ewmaGain * (sample - b.interval)
-	b.best = b.best * baselineDrift
-	if b.best == 0 || sample < b.best {
-		b.best = sample
+	b.bestInterval = b.bestInterval * baselineDrift
+	if b.bestInterval == 0 || sample < b.bestInterval {
+		b.bestInterval = sample
 	}
 	if !modelService {
 		return
 	}
-	if sample > slowFactor*b.best {
+	if sample > slowFactor*b.bestInterval {
 		b.window = max(1, b.window*windowDecrease)
 		return
 	}
@@ -135,30 +135,30 @@
 	}
 }
 
-// learnFirst splits the time to the first token: what a cached prompt takes, and what each uncached
+// learnPrefill splits the time to the first token: what a cached prompt takes, and what each uncached
 // token adds.
-func (b *backend) learnFirst(res Result, uncached float64) {
+func (b *backend) learnPrefill(res Result, uncached float64) {
 	if res.FirstToken <= 0 || uncached < 0 {
 		return
 	}
-	if uncached < fewTokens {
-		b.first += ewmaGain * (ms(res.FirstToken) - b.first)
+	if uncached < minPrefillSample {
+		b.cachedFirstToken += ewmaGain * (ms(res.FirstToken) - b.cachedFirstToken)
 		return
 	}
-	sample := max(0, ms(res.FirstToken)-b.first) / uncached
+	sample := max(0, ms(res.FirstToken)-b.cachedFirstToken) / uncached
 	b.prefill += ewmaGain * (sample - b.prefill)
 }
 
 // coolDown keeps new work off a backend server that failed, for longer each time in a row.
 func (b *backend) coolDown(now time.Duration) {
-	d := coolDownFirst << min(b.failures, 5)
-	b.coolTill = now + min(d, coolDownMost)
+	d := minCoolDown << min(b.failures, 5)
+	b.coolUntil = now + min(d, maxCoolDown)
 	b.failures++
 }
 
 // ready tells whether the server may get work. After a failure it gets one request at a time.
 func (b *backend) ready(now time.Duration) bool {
-	if b.spec.Leaving || now < b.coolTill {
+	if b.spec.Leaving || now < b.coolUntil {
 		return false
 	}
 	return b.failures == 0 || len(b.runs) == 0
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// askVictimAgain is when a run that was asked to give way, and still runs, is asked again.
-const askVictimAgain = time.Second
+// victimRetryInterval is when a run that was asked to give way, and still runs, is asked again.
+const victimRetryInterval = time.Second
 
 // displace makes room for waiting urgent work by suspending lower work, one slot for each request
 // that has waited longer than DisplaceAfter.
-func (g *Group) displace(now time.Duration, w *waiting) {
+func (g *Group) displace(now time.Duration, w *queuedRequest) {
 	if ignoresTiers(g.service.Policy) || now-w.arrived < g.opt.DisplaceAfter {
 		return
 	}
 	wanted := g.queue.countAt(w.Priority)
-	for g.coming(now, w.Priority) < wanted {
-		victim := g.displaceable(now, w)
+	for g.pendingSlots(now, w.Priority) < wanted {
+		victim := g.selectVictim(now, w)
 		if victim == nil {
 			return
 		}
@@ -21,13 +21,13 @@
 	}
 }
 
-// coming counts the slots that preemptions under way will free for a priority. One that stays
+// pendingSlots counts the slots that preemptions under way will free for a priority. One that stays
 // unanswered no longer counts: its entry host may be dead or paused.
-func (g *Group) coming(now time.Duration, priority uint32) int {
+func (g *Group) pendingSlots(now time.Duration, priority uint32) int {
 	n := 0
 	for _, b := range g.backends {
 		for _, r := range b.runs {
-			if r.displacing && r.Priority < priority && now-r.preempted < g.opt.PreemptAgain {
+			if r.displacing && r.Priority < priority && now-r.preemptedAt < g.opt.PreemptTimeout {
 				n++
 			}
 		}
@@ -36,28 +36,28 @@
 }
 
 // displaceAllBelow suspends every lower run on a server that could serve the request.
-func (g *Group) displaceAllBelow(now time.Duration, w *waiting) {
-	for r := g.displaceable(now, w); r != nil; r = g.displaceable(now, w) {
+func (g *Group) displaceAllBelow(now time.Duration, w *queuedRequest) {
+	for r := g.selectVictim(now, w); r != nil; r = g.selectVictim(now, w) {
 		g.preempt(now, r)
 	}
 }
 
 func (g *Group) preempt(now time.Duration, r *run) {
-	r.displacing, r.preempted = true, now
-	g.out = append(g.out, Preempt{r.Key, r.Attempt})
+	r.displacing, r.preemptedAt = true, now
+	g.decisions = append(g.decisions, Preempt{r.Key, r.Attempt})
 }
 
-// displaceable picks the victim for a waiting request, nil if there is none.
-func (g *Group) displaceable(now time.Duration, w *waiting) *run {
+// selectVictim picks the victim for a waiting request, nil if there is none.
+func (g *Group) selectVictim(now time.Duration, w *queuedRequest) *run {
 	var victim *run
-	for _, name := range g.order {
+	for _, name := range g.sortedNames {
 		b := g.backends[name]
-		if !g.suspendable(b) || !g.able(now, w, b) {
+		if !g.suspendable(b) || !g.canServe(now, w, b) {
 			continue
 		}
 		for _, r := range b.runs {
-			asked := r.displacing && now-r.preempted < askVictimAgain
-			if asked || r.Priority >= w.Priority || r.orphanAt > 0 {
+			asked := r.displacing && now-r.preemptedAt < victimRetryInterval
+			if asked || r.Priority >= w.Priority || r.orphanedAt > 0 {
 				continue
 			}
 			if victim == nil || betterVictim(r, victim) {
@@ -80,8 +80,8 @@
 	if a.OutputTokens != b.OutputTokens {
 		return a.OutputTokens > b.OutputTokens
 	}
-	if a.granted != b.granted {
-		return a.granted > b.granted
+	if a.grantedAt != b.grantedAt {
+		return a.grantedAt > b.grantedAt
 	}
 	return a.Key.Less(b.Key)
 }
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -9,51 +9,51 @@
 	"fireflyshift/internal/record"
 )
 
-// sweepEvery is how often lost runs are looked for: the look costs a pass over all runs.
-const sweepEvery = 250 * time.Millisecond
+// sweepInterval is how often lost runs are looked for: the look costs a pass over all runs.
+const sweepInterval = 250 * time.Millisecond
 
 // Group is the scheduler's state for one group of backend servers of one service in one
 // availability zone. It is not safe for concurrent use.
 type Group struct {
-	opt      Options
-	service  record.Service
-	backends map[string]*backend
-	order    []string // names, sorted
-	queue    *queue
-	runs     map[Key]*run // over all backend servers
-	hosts    map[string]*entryHost
-	reserve  [Priorities]int // percent of slots that tiers above each priority reserve
-	running  [Priorities]int // how many run at each priority
-	grants   uint64
-	answered float64 // share of the output bound that answers come to; zero before the first
-	settled  bool
-	settleAt time.Duration
-	sweptAt  time.Duration
-	awaiting map[string]bool // hosts whose Holdings a new scheduler waits for
-	inv      *invariant.Log
-	out      []Decision
-	// CappedSheds counts refusals by the hard bound of the queue.
-	CappedSheds int
+	opt               Options
+	service           record.Service
+	backends          map[string]*backend
+	sortedNames       []string // names, sorted
+	queue             *queue
+	runs              map[Key]*run // over all backend servers
+	entryHosts        map[string]*entryHost
+	reservePercent    [NumPriorities]int // percent of slots that tiers above each priority reserve
+	runningByPriority [NumPriorities]int // how many run at each priority
+	grants            uint64
+	outputRatio       float64 // share of the output bound that answers come to; zero before the first
+	settled           bool
+	settleBy          time.Duration
+	sweptAt           time.Duration
+	awaitingHoldings  map[string]bool // hosts whose Holdings a new scheduler waits for
+	inv               *invariant.Log
+	decisions         []Decision
+	// HardBoundSheds counts refusals by the hard bound of the queue.
+	HardBoundSheds int
 }
 
 // NewGroup returns a group that grants once the hosts have said what they run, or after
 // Options.Settle. Without that wait a scheduler that takes over would fill engines twice.
 func NewGroup(now time.Duration, opt Options, service record.Service, hosts []string, inv *invariant.Log) *Group {
 	g := &Group{
-		opt:      opt,
-		service:  service,
-		backends: map[string]*backend{},
-		queue:    newQueue(),
-		runs:     map[Key]*run{},
-		hosts:    map[string]*entryHost{},
-		settleAt: now + opt.Settle,
-		awaiting: map[string]bool{},
-		inv:      inv,
+		opt:              opt,
+		service:          service,
+		backends:         map[string]*backend{},
+		queue:            newQueue(),
+		runs:             map[Key]*run{},
+		entryHosts:       map[string]*entryHost{},
+		settleBy:         now + opt.SettleTimeout,
+		awaitingHoldings: map[string]bool{},
+		inv:              inv,
 	}
 	for _, h := range hosts {
-		g.awaiting[h] = true
+		g.awaitingHoldings[h] = true
 	}
-	g.settled = len(g.awaiting) == 0
+	g.settled = len(g.awaitingHoldings) == 0
 	return g
 }
 
@@ -62,10 +62,10 @@
 
 // SetTiers takes the tiers in force, for their reserves.
 func (g *Group) SetTiers(tiers []*record.Tier) {
-	g.reserve = [Priorities]int{}
+	g.reservePercent = [NumPriorities]int{}
 	for _, t := range tiers {
 		for p := uint32(0); p < t.Priority; p++ {
-			g.reserve[p] = min(90, g.reserve[p]+t.ReservePercent)
+			g.reservePercent[p] = min(90, g.reservePercent[p]+t.ReservePercent)
 		}
 	}
 }
@@ -86,9 +86,9 @@
 			delete(g.backends, name)
 		}
 	}
-	g.reorder()
-	g.pump(now)
-	return g.take()
+	g.sortNames()
+	g.schedule(now)
+	return g.takeDecisions()
 }
 
 func (g *Group) setBackend(s record.Backend) {
@@ -110,38 +110,38 @@
 	b.spec = s
 }
 
-func (g *Group) reorder() {
-	g.order = g.order[:0]
+func (g *Group) sortNames() {
+	g.sortedNames = g.sortedNames[:0]
 	for name := range g.backends {
-		g.order = append(g.order, name)
+		g.sortedNames = append(g.sortedNames, name)
 	}
-	sort.Strings(g.order)
+	sort.Strings(g.sortedNames)
 }
 
-func (g *Group) position(name string) int { return sort.SearchStrings(g.order, name) }
+func (g *Group) position(name string) int { return sort.SearchStrings(g.sortedNames, name) }
 
 // Acquire queues a request, or answers it at once.
 func (g *Group) Acquire(now time.Duration, r Request) []Decision {
-	if r.Priority >= Priorities {
-		r.Priority = Priorities - 1
+	if r.Priority >= NumPriorities {
+		r.Priority = NumPriorities - 1
 	}
-	if g.repeated(now, r) {
-		return g.take()
+	if g.handleRepeated(now, r) {
+		return g.takeDecisions()
 	}
-	w := g.newWaiting(now, r)
+	w := g.newQueuedRequest(now, r)
 	if kind, after, ok := g.admit(now, w); !ok {
 		g.refuse(w, kind, after)
-		return g.take()
+		return g.takeDecisions()
 	}
 	g.queue.push(w)
-	g.pump(now)
-	g.overflow(now)
-	return g.take()
+	g.schedule(now)
+	g.enforceQueueBound(now)
+	return g.takeDecisions()
 }
 
-// repeated handles a second copy of a request: links are cut and answers lost, so entry hosts ask
+// handleRepeated handles a second copy of a request: links are cut and answers lost, so entry hosts ask
 // again until they are answered. It reports whether there is nothing left to do.
-func (g *Group) repeated(now time.Duration, r Request) bool {
+func (g *Group) handleRepeated(now time.Duration, r Request) bool {
 	if w, ok := g.queue.byKey[r.Key]; ok {
 		if r.Attempt <= w.Attempt {
 			return true
@@ -160,44 +160,44 @@
 		g.free(held)
 		return false
 	}
-	held.confirmed = now
-	g.out = append(g.out, Grant{r.Key, r.Attempt, held.Backend, g.opt.Lease})
+	held.confirmedAt = now
+	g.decisions = append(g.decisions, Grant{r.Key, r.Attempt, held.Backend, g.opt.Lease})
 	return true
 }
 
-func (g *Group) newWaiting(now time.Duration, r Request) *waiting {
-	w := &waiting{Request: r, arrived: now}
+func (g *Group) newQueuedRequest(now time.Duration, r Request) *queuedRequest {
+	w := &queuedRequest{Request: r, arrived: now}
 	least := -1.0
-	for _, name := range g.order {
+	for _, name := range g.sortedNames {
 		b := g.backends[name]
-		w.cost += b.estimate(&r, g.share()) / float64(len(g.order))
-		if shown := b.shown(&r, g.answered); least < 0 || shown < least {
+		w.cost += b.estimate(&r, g.expectedOutputRatio()) / float64(len(g.sortedNames))
+		if shown := b.measuredEstimate(&r, g.outputRatio); least < 0 || shown < least {
 			least = shown
 		}
 	}
-	w.latest = r.Deadline - fromMS(max(least, 0)*finishMargin)
+	w.latestStart = r.Deadline - fromMS(max(least, 0)*finishMargin)
 	return w
 }
 
-// share is the part of the output bound that answers come to, learned from those that ended.
-func (g *Group) share() float64 {
-	if g.answered == 0 {
+// expectedOutputRatio is the part of the output bound that answers come to, learned from those that ended.
+func (g *Group) expectedOutputRatio() float64 {
+	if g.outputRatio == 0 {
 		return 1
 	}
-	return g.answered
+	return g.outputRatio
 }
 
-// learnShare takes the length of a whole answer.
-func (g *Group) learnShare(r *run, res Result) {
+// learnOutputRatio takes the length of a whole answer.
+func (g *Group) learnOutputRatio(r *run, res Result) {
 	if res.Outcome != Done || r.OutputTokens == 0 || res.Tokens == 0 {
 		return
 	}
 	sample := min(1, float64(res.Tokens)/float64(r.OutputTokens))
-	if g.answered == 0 {
-		g.answered = sample
+	if g.outputRatio == 0 {
+		g.outputRatio = sample
 		return
 	}
-	g.answered += ewmaGain * (sample - g.answered)
+	g.outputRatio += ewmaGain * (sample - g.outputRatio)
 }
 
 // Withdraw forgets a request whose caller has gone or whose entry host gave it up.
@@ -208,8 +208,8 @@
 	if r := g.find(k); r != nil && r.Attempt <= attempt {
 		g.free(r)
 	}
-	g.pump(now)
-	return g.take()
+	g.schedule(now)
+	return g.takeDecisions()
 }
 
 // Release takes the end of a dispatch.
@@ -218,18 +218,18 @@
 	uncached := -1.0
 	if r := g.find(res.Key); r != nil && r.Attempt <= res.Attempt {
 		uncached = r.uncached
-		g.learnShare(r, res)
+		g.learnOutputRatio(r, res)
 		g.free(r)
 	}
 	if ok {
 		b.learn(now, res, uncached, g.service.Kind == record.ServiceModel)
 	}
-	g.pump(now)
-	return g.take()
+	g.schedule(now)
+	return g.takeDecisions()
 }
 
-// Hold takes the full list of what one entry host runs here: it renews, adds and removes.
-func (g *Group) Hold(now time.Duration, host string, held []Held) []Decision {
+// UpdateHoldings takes the full list of what one entry host runs here: it renews, adds and removes.
+func (g *Group) UpdateHoldings(now time.Duration, host string, held []Held) []Decision {
 	named := map[Key]bool{}
 	for _, h := range held {
 		named[h.Key] = true
@@ -237,21 +237,21 @@
 	}
 	for _, r := range g.runsOf(host) {
 		// A grant may be on its way while the list is on its own: wait out the lease.
-		if !named[r.Key] && now-r.granted > g.opt.Lease {
+		if !named[r.Key] && now-r.grantedAt > g.opt.Lease {
 			g.free(r)
 		}
 	}
-	delete(g.awaiting, host)
-	if len(g.awaiting) == 0 {
+	delete(g.awaitingHoldings, host)
+	if len(g.awaitingHoldings) == 0 {
 		g.settled = true
 	}
-	g.pump(now)
-	return g.take()
+	g.schedule(now)
+	return g.takeDecisions()
 }
 
 func (g *Group) adopt(now time.Duration, h Held) {
 	if r := g.find(h.Key); r != nil {
-		r.confirmed, r.orphanAt = now, 0
+		r.confirmedAt, r.orphanedAt = now, 0
 		return
 	}
 	b, ok := g.backends[h.Backend]
@@ -264,40 +264,40 @@
 		}
 		g.queue.remove(w)
 	}
-	h.Priority = min(h.Priority, Priorities-1)
-	g.start(b, &run{Held: h, granted: now, confirmed: now, uncached: -1})
+	h.Priority = min(h.Priority, NumPriorities-1)
+	g.start(b, &run{Held: h, grantedAt: now, confirmedAt: now, uncached: -1})
 }
 
 // HostLost drops what a dead entry host had waiting; its runs keep their slots for OrphanGrace,
 // since the engines may not have noticed yet.
 func (g *Group) HostLost(now time.Duration, host string) []Decision {
-	for _, w := range g.sorted() {
+	for _, w := range g.waitingByKey() {
 		if w.Key.Host == host {
 			g.queue.remove(w)
 		}
 	}
 	for _, r := range g.runsOf(host) {
-		if r.orphanAt == 0 {
-			r.orphanAt = now
+		if r.orphanedAt == 0 {
+			r.orphanedAt = now
 		}
 	}
-	delete(g.awaiting, host)
-	g.pump(now)
-	return g.take()
+	delete(g.awaitingHoldings, host)
+	g.schedule(now)
+	return g.takeDecisions()
 }
 
 // Dissolve tells all that waits to look for the group's next scheduler.
 func (g *Group) Dissolve() []Decision {
-	for _, w := range g.sorted() {
+	for _, w := range g.waitingByKey() {
 		g.refuse(w, fault.Moved, 0)
 		g.queue.remove(w)
 	}
-	return g.take()
+	return g.takeDecisions()
 }
 
-// sorted lists what waits in a fixed order.
-func (g *Group) sorted() []*waiting {
-	all := make([]*waiting, 0, g.queue.len())
+// waitingByKey lists what waits in a fixed order.
+func (g *Group) waitingByKey() []*queuedRequest {
+	all := make([]*queuedRequest, 0, g.queue.len())
 	for _, w := range g.queue.byKey {
 		all = append(all, w)
 	}
@@ -307,58 +307,58 @@
 
 // Tick lets time pass: it ends waits that cannot meet their deadline and looks for free slots.
 func (g *Group) Tick(now time.Duration) []Decision {
-	if !g.settled && now >= g.settleAt {
+	if !g.settled && now >= g.settleBy {
 		g.settled = true
 	}
-	if now-g.sweptAt >= sweepEvery {
+	if now-g.sweptAt >= sweepInterval {
 		g.sweptAt = now
-		g.dropLost(now)
+		g.freeLostRuns(now)
 	}
 	g.expire(now)
-	g.pump(now)
-	return g.take()
+	g.schedule(now)
+	return g.takeDecisions()
 }
 
 // Busy tells whether time alone may change something soon: a request waits, or the group is new.
 func (g *Group) Busy() bool { return !g.settled || g.queue.len() > 0 }
 
-// dropLost frees the slots of runs whose entry host is dead or no longer names them.
-func (g *Group) dropLost(now time.Duration) {
-	lost := g.pickRuns(func(r *run) bool {
-		orphan := r.orphanAt > 0 && now-r.orphanAt > g.opt.OrphanGrace
-		return orphan || now-max(r.confirmed, g.hosts[r.Key.Host].confirmed) > g.opt.Unconfirmed
+// freeLostRuns frees the slots of runs whose entry host is dead or no longer names them.
+func (g *Group) freeLostRuns(now time.Duration) {
+	lost := g.runsWhere(func(r *run) bool {
+		orphan := r.orphanedAt > 0 && now-r.orphanedAt > g.opt.OrphanGrace
+		return orphan || now-max(r.confirmedAt, g.entryHosts[r.Key.Host].confirmedAt) > g.opt.UnconfirmedTimeout
 	})
 	for _, r := range lost {
 		g.free(r)
 	}
 }
 
-// Report takes an engine's lagging word on its load.
-func (g *Group) Report(name string, outstanding int) {
+// ReportLoad takes an engine's lagging word on its load.
+func (g *Group) ReportLoad(name string, outstanding int) {
 	if b, ok := g.backends[name]; ok {
-		b.reported = outstanding
+		b.reportedLoad = outstanding
 	}
 }
 
-// Evicted takes cache events of an engine.
-func (g *Group) Evicted(name string, hashes []uint32) {
+// CacheEvicted takes cache events of an engine.
+func (g *Group) CacheEvicted(name string, hashes []uint32) {
 	b, ok := g.backends[name]
 	if !ok {
 		return
 	}
 	for _, h := range hashes {
-		b.prefix.drop(h)
+		b.prefixes.remove(h)
 	}
 }
 
 func (g *Group) find(k Key) *run { return g.runs[k] }
 
 func (g *Group) runsOf(host string) []*run {
-	return g.pickRuns(func(r *run) bool { return r.Key.Host == host })
+	return g.runsWhere(func(r *run) bool { return r.Key.Host == host })
 }
 
-// pickRuns lists runs in a fixed order.
-func (g *Group) pickRuns(want func(*run) bool) []*run {
+// runsWhere lists runs in a fixed order.
+func (g *Group) runsWhere(want func(*run) bool) []*run {
 	var out []*run
 	for _, r := range g.runs {
 		if want(r) {
@@ -372,14 +372,14 @@
 func (g *Group) start(b *backend, r *run) {
 	b.runs[r.Key] = r
 	g.runs[r.Key] = r
-	g.running[r.Priority]++
-	h, ok := g.hosts[r.Key.Host]
+	g.runningByPriority[r.Priority]++
+	h, ok := g.entryHosts[r.Key.Host]
 	if !ok {
 		h = &entryHost{}
-		g.hosts[r.Key.Host] = h
+		g.entryHosts[r.Key.Host] = h
 	}
 	h.count++
-	h.digest ^= HeldStamp(r.Key.Request, r.Attempt)
+	h.digest ^= RunHash(r.Key.Request, r.Attempt)
 }
 
 func (g *Group) free(r *run) {
@@ -387,20 +387,20 @@
 		return
 	}
 	delete(g.runs, r.Key)
-	g.running[r.Priority]--
-	h := g.hosts[r.Key.Host]
+	g.runningByPriority[r.Priority]--
+	h := g.entryHosts[r.Key.Host]
 	h.count--
-	h.digest ^= HeldStamp(r.Key.Request, r.Attempt)
+	h.digest ^= RunHash(r.Key.Request, r.Attempt)
 	if h.count == 0 {
-		delete(g.hosts, r.Key.Host)
+		delete(g.entryHosts, r.Key.Host)
 	}
 	if b, ok := g.backends[r.Backend]; ok {
 		delete(b.runs, r.Key)
 	}
 }
 
-func (g *Group) take() []Decision {
-	out := g.out
-	g.out = nil
+func (g *Group) takeDecisions() []Decision {
+	out := g.decisions
+	g.decisions = nil
 	return out
 }
--- a/internal/sched/group_test.go
+++ b/internal/sched/group_test.go
@@ -187,7 +187,7 @@
 				for k, d := range c.running {
 					held = append(held, Held{Key: k, Attempt: d.Attempt, Backend: d.Backend, Priority: g.runs[k].Priority})
 				}
-				c.take(g.Hold(now, "h", held))
+				c.take(g.UpdateHoldings(now, "h", held))
 				c.take(g.Tick(now))
 			},
 			"": func(rt *rapid.T) {
@@ -232,7 +232,7 @@
 	}
 	served := map[string]int{}
 	for i := 0; i < 200; i++ {
-		r := g.pickRuns(func(*run) bool { return true })[0]
+		r := g.runsWhere(func(*run) bool { return true })[0]
 		served[r.Workspace]++
 		g.Release(0, Result{Key: r.Key, Attempt: 1, Backend: r.Backend, Outcome: Done})
 	}
@@ -249,8 +249,8 @@
 	g.SetBackends(0, []record.Backend{{Name: "b", Service: "s", Slots: 2, CanSuspend: true}})
 	require.Empty(t, grants(g.Acquire(0, testRequest("new", 5, "w"))))
 	held := []Held{{Key: Key{"h1", 1}, Attempt: 1, Backend: "b"}, {Key: Key{"h1", 2}, Attempt: 1, Backend: "b"}}
-	require.Empty(t, grants(g.Hold(0, "h1", held)))
-	require.Empty(t, grants(g.Hold(0, "h2", nil)), "both slots are in use")
+	require.Empty(t, grants(g.UpdateHoldings(0, "h1", held)))
+	require.Empty(t, grants(g.UpdateHoldings(0, "h2", nil)), "both slots are in use")
 	got := grants(g.Release(0, Result{Key: Key{"h1", 1}, Attempt: 1, Backend: "b", Outcome: Done}))
 	require.Len(t, got, 1)
 	require.Equal(t, number("new"), got[0].Key.Request)
@@ -263,7 +263,7 @@
 	g := NewGroup(0, DefaultOptions(), record.Service{Name: "s", Kind: record.ServiceModel, Policy: "cost"}, []string{"dead"}, &inv)
 	g.SetBackends(0, []record.Backend{{Name: "b", Service: "s", Slots: 2}})
 	require.Empty(t, grants(g.Acquire(0, testRequest("r", 5, "w"))))
-	require.Len(t, grants(g.Tick(DefaultOptions().Settle)), 1)
+	require.Len(t, grants(g.Tick(DefaultOptions().SettleTimeout)), 1)
 }
 
 // A Release is lost with a cut link. The slot would be lost for good, and in time the engine would
@@ -273,8 +273,8 @@
 	g := newTestGroup(record.ServiceModel, 1, 1, &inv)
 	require.Len(t, grants(g.Acquire(0, testRequest("a", 1, "w"))), 1)
 	require.Empty(t, grants(g.Acquire(0, testRequest("b", 1, "w"))))
-	require.Empty(t, grants(g.Hold(time.Second, "h", nil)), "the grant may still be on its way")
-	got := grants(g.Hold(3*time.Second, "h", nil))
+	require.Empty(t, grants(g.UpdateHoldings(time.Second, "h", nil)), "the grant may still be on its way")
+	got := grants(g.UpdateHoldings(3*time.Second, "h", nil))
 	require.Len(t, got, 1)
 	require.Equal(t, number("b"), got[0].Key.Request)
 }
@@ -300,7 +300,7 @@
 			for j := 0; j < 9; j++ {
 				g.Acquire(0, testRequest(fmt.Sprintf("%s-%d-%d", interval, i, j), 1, "w"))
 			}
-			for _, r := range g.pickRuns(func(*run) bool { return true }) {
+			for _, r := range g.runsWhere(func(*run) bool { return true }) {
 				g.Release(0, Result{Key: r.Key, Attempt: 1, Backend: "b000", Outcome: Done, Interval: interval, Prompt: 100, FirstToken: interval, Tokens: 20})
 			}
 		}
@@ -449,9 +449,9 @@
 	g := newTestGroup(record.ServiceModel, 1, 2, &inv)
 	r := testRequest("runs", 1, "w")
 	g.Acquire(0, r)
-	require.True(t, g.Confirm(0, "h", 1, HeldStamp(r.Key.Request, 1)))
-	require.False(t, g.Confirm(0, "h", 1, HeldStamp(number("another"), 1)))
-	require.False(t, g.Confirm(0, "h", 1, HeldStamp(r.Key.Request, 2)))
+	require.True(t, g.Confirm(0, "h", 1, RunHash(r.Key.Request, 1)))
+	require.False(t, g.Confirm(0, "h", 1, RunHash(number("another"), 1)))
+	require.False(t, g.Confirm(0, "h", 1, RunHash(r.Key.Request, 2)))
 	require.False(t, g.Confirm(0, "h", 0, 0))
 	require.True(t, g.Confirm(0, "stranger", 0, 0))
 }
--- a/internal/sched/policy.go
+++ b/internal/sched/policy.go
@@ -15,29 +15,29 @@
 	"first-come":   scoreCost,
 	"round-robin":  scoreRoundRobin,
 	"random":       scoreRandom,
-	"least-loaded": scoreReported,
+	"least-loaded": scoreReportedLoad,
 	"two-choices":  scoreTwoChoices,
 	"prefix":       scorePrefix,
 }
 
-// ReadsLoad tells whether a policy goes by the engines' own load reports.
-func ReadsLoad(policy string) bool { return policy == "least-loaded" || policy == "two-choices" }
+// UsesLoadReports tells whether a policy goes by the engines' own load reports.
+func UsesLoadReports(policy string) bool { return policy == "least-loaded" || policy == "two-choices" }
 
 // ignoresTiers tells whether a policy serves first come, first served.
 func ignoresTiers(policy string) bool { return policy != "cost" }
 
-// crowding weighs how much a filling engine slows the rest of an answer.
-const crowding = 0.5
+// fillPenalty weighs how much a filling engine slows the rest of an answer.
+const fillPenalty = 0.5
 
 // scoreCost estimates the finish: uncached prefill, then tokens at the server's learned interval,
 // slower as the server fills.
 func scoreCost(g *Group, r *Request, b *backend) float64 {
 	fill := float64(len(b.runs)) / float64(b.limit())
-	return b.estimate(r, g.share()) * (1 + crowding*fill)
+	return b.estimate(r, g.expectedOutputRatio()) * (1 + fillPenalty*fill)
 }
 
 func scoreRoundRobin(g *Group, _ *Request, b *backend) float64 {
-	n := len(g.order)
+	n := len(g.sortedNames)
 	return float64((g.position(b.spec.Name) - int(g.grants%uint64(n)) + n) % n)
 }
 
@@ -46,8 +46,8 @@
 	return float64(xxhash.Sum64(seed))
 }
 
-func scoreReported(_ *Group, _ *Request, b *backend) float64 {
-	return float64(b.reported) / float64(b.spec.Slots)
+func scoreReportedLoad(_ *Group, _ *Request, b *backend) float64 {
+	return float64(b.reportedLoad) / float64(b.spec.Slots)
 }
 
 // scoreTwoChoices compares the reported load of two servers drawn at random.
@@ -55,7 +55,7 @@
 	const notDrawn = 1e9
 	better := 0
 	mine := scoreRandom(g, r, b)
-	for _, name := range g.order {
+	for _, name := range g.sortedNames {
 		if scoreRandom(g, r, g.backends[name]) < mine {
 			better++
 		}
@@ -63,9 +63,9 @@
 	if better >= 2 {
 		return notDrawn + float64(better)
 	}
-	return scoreReported(g, r, b)
+	return scoreReportedLoad(g, r, b)
 }
 
 func scorePrefix(_ *Group, r *Request, b *backend) float64 {
-	return -float64(b.prefix.matched(r.Prefix, r.PromptTokens))
+	return -float64(b.prefixes.matched(r.Prefix, r.PromptTokens))
 }
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -9,8 +9,8 @@
 	"fireflyshift/internal/fault"
 )
 
-// Priorities is the number of tier priorities; record.MaxPriority is the greatest.
-const Priorities = 16
+// NumPriorities is the number of tier priorities; record.MaxPriority is the greatest.
+const NumPriorities = 16
 
 // Key names a request at the entry host that took it.
 type Key struct {
@@ -118,30 +118,30 @@
 	Lease time.Duration
 	// DisplaceAfter is how long urgent work waits for a natural slot before it displaces.
 	DisplaceAfter time.Duration
-	// PreemptAgain is when an unanswered preemption stops counting as a coming slot.
-	PreemptAgain time.Duration
+	// PreemptTimeout is when an unanswered preemption stops counting as a coming slot.
+	PreemptTimeout time.Duration
 	// QueuePerSlot bounds the queue relative to the group's slots.
 	QueuePerSlot int
 	// MinQueue is the least bound of the queue.
 	MinQueue int
 	// OrphanGrace keeps the slots of a lost entry host: its streams may still run.
 	OrphanGrace time.Duration
-	// Unconfirmed frees a run that its entry host has not named for so long.
-	Unconfirmed time.Duration
-	// Settle is how long a new scheduler listens for Holdings before it grants.
-	Settle time.Duration
+	// UnconfirmedTimeout frees a run that its entry host has not named for so long.
+	UnconfirmedTimeout time.Duration
+	// SettleTimeout is how long a new scheduler listens for Holdings before it grants.
+	SettleTimeout time.Duration
 }
 
 // DefaultOptions are the values the daemon uses.
 func DefaultOptions() Options {
 	return Options{
-		Lease:         2 * time.Second,
-		DisplaceAfter: 30 * time.Millisecond,
-		PreemptAgain:  250 * time.Millisecond,
-		QueuePerSlot:  8,
-		MinQueue:      64,
-		OrphanGrace:   3 * time.Second,
-		Unconfirmed:   4 * time.Second,
-		Settle:        400 * time.Millisecond,
+		Lease:              2 * time.Second,
+		DisplaceAfter:      30 * time.Millisecond,
+		PreemptTimeout:     250 * time.Millisecond,
+		QueuePerSlot:       8,
+		MinQueue:           64,
+		OrphanGrace:        3 * time.Second,
+		UnconfirmedTimeout: 4 * time.Second,
+		SettleTimeout:      400 * time.Millisecond,
 	}
 }
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -1,7 +1,7 @@
-// Package ticket makes at-most-once hold over a caller's second try at another host, with no
-// shared store. A ticket names the host that issued it, its home; a host may dispatch a ticketed
-// request only after the home has given it the claim. The home keeps claims in memory: when it is
-// lost, the answer is "may have run", never a second run.
+// Package ticket provides at-most-once execution when a caller retries at another host, without a
+// shared store. A ticket names the host that issued it, its home. A host may dispatch a request with
+// a ticket only after the home has granted it the claim. The home keeps claims in memory: if it is
+// lost, callers get "may have run", never a second run.
 package ticket
 
 import (
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// TTL is how long a ticket can be claimed, on its home's clock.
+// TTL is how long a ticket can be claimed, measured on its home's clock.
 const TTL = 10 * time.Minute
 
-// maxClaims bounds a home's memory: at 33 requests a second for TTL there are 20,000.
+// maxClaims bounds the memory of a home. 33 requests per second over TTL make about 20,000 claims.
 const maxClaims = 200_000
 
 const prefix = "fs1"
 
-// Ticket is an issued permission to run once. Age is read on the clock that issued it, so clock
-// skew between hosts has no part in it.
+// Ticket is a permission to run a request once. Its age is measured on the clock of the host that
+// issued it, so clock skew between hosts does not matter.
 type Ticket struct {
 	Home        string
 	Incarnation uint64
@@ -29,29 +29,29 @@
 	Nonce       string
 }
 
-// String is the form that callers carry.
+// String encodes the ticket for the ticket header.
 func (t Ticket) String() string {
 	return strings.Join([]string{prefix, hex.EncodeToString([]byte(t.Home)), strconv.FormatUint(t.Incarnation, 36),
 		strconv.FormatInt(t.Issued.Milliseconds(), 36), t.Nonce}, "_")
 }
 
-// Parse reads the form that callers carry.
+// Parse decodes a ticket that String encoded.
 func Parse(s string) (Ticket, error) {
 	parts := strings.Split(s, "_")
 	if len(s) > 256 || len(parts) != 5 || parts[0] != prefix || parts[4] == "" {
-		return Ticket{}, fmt.Errorf("not a ticket of this system")
+		return Ticket{}, fmt.Errorf("malformed ticket")
 	}
 	home, err := hex.DecodeString(parts[1])
 	if err != nil {
-		return Ticket{}, fmt.Errorf("the ticket's host is malformed")
+		return Ticket{}, fmt.Errorf("malformed host in ticket")
 	}
 	incarnation, err := strconv.ParseUint(parts[2], 36, 64)
 	if err != nil {
-		return Ticket{}, fmt.Errorf("the ticket's incarnation is malformed")
+		return Ticket{}, fmt.Errorf("malformed incarnation in ticket")
 	}
 	issued, err := strconv.ParseInt(parts[3], 36, 64)
 	if err != nil || issued < 0 || issued > int64(100*365*24*time.Hour/time.Millisecond) {
-		return Ticket{}, fmt.Errorf("the ticket's time is malformed")
+		return Ticket{}, fmt.Errorf("malformed issue time in ticket")
 	}
 	return Ticket{string(home), incarnation, time.Duration(issued) * time.Millisecond, parts[4]}, nil
 }
@@ -59,23 +59,25 @@
 // Verdict is the home's answer to a claim.
 type Verdict int
 
-// The verdicts.
+// The values match peerpb.Claim.
 const (
-	Yours Verdict = iota + 1
+	Granted Verdict = iota + 1
 	InProgress
 	Done
 	Expired
 	OtherIncarnation
 )
 
-// claim is who holds a ticket and how it ended.
+// claim is the state of one claimed ticket. holder is empty if the last holder proved that the
+// request did not run.
 type claim struct {
 	holder  string
 	done    bool
 	expires time.Duration
 }
 
-// Home keeps the claims on the tickets of one host incarnation. Not safe for concurrent use.
+// Home keeps the claims on tickets issued by one incarnation of a host. It is not safe for
+// concurrent use.
 type Home struct {
 	host        string
 	incarnation uint64
@@ -83,27 +85,27 @@
 	order       []string
 }
 
-// NewHome returns a home with no claims. The incarnation must differ at each start of a host.
+// NewHome returns a Home without claims. The incarnation must differ at each start of the host.
 func NewHome(host string, incarnation uint64) *Home {
 	return &Home{host: host, incarnation: incarnation, claims: map[string]claim{}}
 }
 
-// Issue makes a ticket.
+// Issue returns a new ticket. The nonce must be unique among tickets issued in the same millisecond.
 func (h *Home) Issue(now time.Duration, nonce string) Ticket {
 	return Ticket{h.host, h.incarnation, now, nonce}
 }
 
-// Claim gives a ticket to holder unless another has or had it. Repeating a claim is harmless: the
-// same holder is told Yours again until it has settled.
+// Claim grants a ticket to holder unless another holder has or had it. Claiming is idempotent: the
+// same holder gets Granted again until it settles.
 //
-// It guards against a doubled run when the balancer sends a second try elsewhere. It holds since
-// only the home answers, a lost home has a new incarnation and answers OtherIncarnation, and a
-// forgotten claim is past the TTL on the same clock and answers Expired.
+// This prevents a second run when the load balancer sends a retry to another host. Only the home
+// answers claims; a restarted home has a new incarnation and answers OtherIncarnation; and a claim
+// is dropped only after its TTL on the same clock, so a later claim is answered Expired.
 func (h *Home) Claim(now time.Duration, t Ticket, workspace, holder string) Verdict {
 	if t.Home != h.host || t.Incarnation != h.incarnation {
 		return OtherIncarnation
 	}
-	h.forget(now)
+	h.dropExpired(now)
 	if now > t.Issued+TTL || t.Issued > now {
 		return Expired
 	}
@@ -115,21 +117,22 @@
 	case !known:
 		h.claims[id] = claim{holder: holder, expires: t.Issued + TTL}
 		h.order = append(h.order, id)
-		return Yours
+		return Granted
 	case c.done:
 		return Done
 	case c.holder == "":
 		c.holder = holder
 		h.claims[id] = c
-		return Yours
+		return Granted
 	case c.holder == holder:
-		return Yours
+		return Granted
 	default:
 		return InProgress
 	}
 }
 
-// Settle ends a claim. A claim that is proved not to have run can be taken again.
+// Settle ends a claim. With notRun, the request is proved not to have run and the ticket can be
+// claimed again.
 func (h *Home) Settle(t Ticket, workspace, holder string, notRun bool) {
 	id := key(t, workspace)
 	c, known := h.claims[id]
@@ -144,12 +147,12 @@
 	h.claims[id] = c
 }
 
-// Len is how many claims are kept.
+// Len returns the number of claims in memory.
 func (h *Home) Len() int { return len(h.claims) }
 
-// forget drops claims whose ticket has expired. Claims are in the order of their arrival, which is
-// not quite that of expiry; one that stays a little longer costs only memory.
-func (h *Home) forget(now time.Duration) {
+// dropExpired drops claims whose ticket has expired. Claims are kept in order of arrival, which is
+// only roughly the order of expiry; a claim that stays a little longer costs only memory.
+func (h *Home) dropExpired(now time.Duration) {
 	n := 0
 	for n < len(h.order) && h.claims[h.order[n]].expires < now {
 		delete(h.claims, h.order[n])
@@ -158,5 +161,5 @@
 	h.order = h.order[n:]
 }
 
-// key keeps workspaces apart, so that one cannot spend another's ticket.
+// key includes the workspace, so that one workspace cannot use the ticket of another.
 func key(t Ticket, workspace string) string { return workspace + "\x00" + t.String() }
--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing holds what both paths measure and wait by.
+// Package timing provides the clock, the cancelable sleep and the stream timer that both request paths use.
 package timing
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits and reports whether it did so to the end; it ends early with ctx.
+// Sleep waits for d. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -18,34 +18,34 @@
 	}
 }
 
-// Stream measures the pieces of a streamed answer, from the moment at which it was asked for.
+// Stream measures when the chunks of a streamed answer arrive. Set StartedAt to the time of the request.
 type Stream struct {
-	Began       time.Time
-	Pieces      int
-	first, last time.Time
+	StartedAt       time.Time
+	Chunks          int
+	firstAt, lastAt time.Time
 }
 
-// Piece notes one piece.
-func (s *Stream) Piece(now time.Time) {
-	if s.Pieces == 0 {
-		s.first = now
+// AddChunk records the arrival of one chunk.
+func (s *Stream) AddChunk(now time.Time) {
+	if s.Chunks == 0 {
+		s.firstAt = now
 	}
-	s.last = now
-	s.Pieces++
+	s.lastAt = now
+	s.Chunks++
 }
 
-// First is the time to the first piece; zero where none came.
-func (s *Stream) First() time.Duration {
-	if s.Pieces == 0 {
+// FirstChunk returns the time from StartedAt to the first chunk, or zero if none has arrived.
+func (s *Stream) FirstChunk() time.Duration {
+	if s.Chunks == 0 {
 		return 0
 	}
-	return s.first.Sub(s.Began)
+	return s.firstAt.Sub(s.StartedAt)
 }
 
-// Interval is the mean time between pieces; zero where fewer than two came.
+// Interval returns the mean time between chunks, or zero if fewer than two have arrived.
 func (s *Stream) Interval() time.Duration {
-	if s.Pieces < 2 {
+	if s.Chunks < 2 {
 		return 0
 	}
-	return s.last.Sub(s.first) / time.Duration(s.Pieces-1)
+	return s.lastAt.Sub(s.firstAt) / time.Duration(s.Chunks-1)
 }
