--- a/internal/core/suspects.go
+++ b/internal/core/suspects.go
@@ -30,7 +30,7 @@
 }
 
 func newSuspectState() suspectState {
-	return suspectState{ledger: quarantine.NewLedgerOfNames(sameEndWindow)}
+	return suspectState{ledger: quarantine.NewLedgerForReusedNames(sameEndWindow)}
 }
 
 // recordOutcome takes what the end of a dispatch says of the request itself. The same request in the hands of one backend
@@ -38,10 +38,10 @@
 func (c *Core) recordOutcome(r *request, e Ended) {
 	switch {
 	case e.Outcome == Done:
-		c.suspects.ledger.Ran(c.now, r.Digest)
+		c.suspects.ledger.ObserveSuccess(c.now, r.Digest)
 	case e.BackendEnded:
 		end := quarantine.End{Backend: uint32(xxhash.Sum64String(r.backend)), At: c.now}
-		if c.suspects.ledger.Saw(c.now, r.Digest, r.Workspace, end) {
+		if c.suspects.ledger.Observe(c.now, r.Digest, r.Workspace, end) {
 			c.trace(r, "%s ended while it ran this request, %s", r.backend, r.Digest)
 			c.sendHeartbeats() // others are told at once
 		}
@@ -61,7 +61,7 @@
 // lets it run now and then: an innocent one would otherwise be refused for a day.
 func (c *Core) allowTrial(d quarantine.Digest) bool {
 	found := c.suspects.ledger.Blamed(d)
-	return found != nil && c.isTrialHost(d) && c.suspects.ledger.Try(c.now, found, trialTimeout)
+	return found != nil && c.isTrialHost(d) && c.suspects.ledger.TakeTrial(c.now, found, trialTimeout)
 }
 
 // isTrialHost tells whether this host is the one to let a request in quarantine run.
@@ -79,10 +79,10 @@
 // suspectsToReport are what heartbeats tell of requests: what this host has newly seen, or all where it is to tell that now.
 func (c *Core) suspectsToReport() []*quarantinepb.Suspect {
 	if c.now < c.suspects.fullReportAt || !slices.Contains(member.Top("tells suspects", c.roles.live, suspectReporters), c.opt.Self.ID) {
-		return c.suspects.ledger.OwnNews(c.now)
+		return c.suspects.ledger.OwnChanges(c.now)
 	}
-	c.suspects.fullReportAt = c.now + quarantine.TellAllEvery
-	return c.suspects.ledger.All(c.now)
+	c.suspects.fullReportAt = c.now + quarantine.FullInterval
+	return c.suspects.ledger.Full(c.now)
 }
 
 // expireSuspects forgets what is old.
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -1,45 +1,45 @@
-// Package limit keeps bounds that all hosts share without a counter that they share: the retry
-// budget and the workspaces' quotas. It is pure: time is an argument.
+// Package limit enforces limits that hold over all hosts without a shared counter: the retry budget and the workspaces'
+// quotas. It is pure: the time is an argument.
 package limit
 
 import "time"
 
-// Budget bounds repeats to a share of the requests plus a little, over any window. Each host spends
-// only what its own requests earned and its part of the extra, so that the hosts' sum keeps the
-// bound without a message between them.
+// Budget bounds retries over any window to a ratio of the requests plus a fixed extra. Each host spends only what its
+// own requests have earned and its part of the extra, so that the sum over all hosts keeps the bound without any
+// message between them.
 type Budget struct {
 	ratio  float64
-	extra  float64 // saved up at most, and regained once a window
+	extra  float64 // per window, over all hosts
 	window time.Duration
 	level  float64
 	at     time.Duration
 }
 
 const (
-	// budgetShare is how much of the allowed ratio and extra is used: repeats that other parties
-	// count and this host does not see, such as one sent just before a restart, take the rest.
-	budgetShare = 0.8
-	// fewestHosts divides the extra while few hosts have been heard: after a restart of all hosts
-	// at once each would otherwise take the whole for itself.
-	fewestHosts = 8
+	// usedFraction is the fraction of the allowed ratio and extra that is used. The rest covers retries that count
+	// elsewhere but that this host does not see, such as one sent just before a restart.
+	usedFraction = 0.8
+	// minHosts is the least number of hosts that the extra is divided by. After a restart of all hosts at once few
+	// peers are known at first, and each host would otherwise take the whole extra for itself.
+	minHosts = 8
 )
 
-// startLevel lets a host that has just started repeat after few requests, while hosts that start
-// again and again spend little of the extra by it.
-const startLevel = 0.9
+// initialBudget lets a host that has just started retry after a few requests, while hosts that restart repeatedly spend
+// little of the extra by it.
+const initialBudget = 0.9
 
-// NewBudget returns a budget that is nearly one repeat.
+// NewBudget returns a budget that starts just short of one retry.
 func NewBudget(ratio, extra float64, window time.Duration) *Budget {
-	return &Budget{ratio: ratio * budgetShare, extra: extra * budgetShare, window: window, level: startLevel}
+	return &Budget{ratio: ratio * usedFraction, extra: extra * usedFraction, window: window, level: initialBudget}
 }
 
-// Earn counts a first arrival.
+// Earn records a request's first attempt.
 func (b *Budget) Earn(now time.Duration, hosts int) {
 	b.refill(now, hosts)
-	b.level = min(b.cap(hosts), b.level+b.ratio)
+	b.level = min(b.maxLevel(hosts), b.level+b.ratio)
 }
 
-// Spend takes one repeat if the budget has it.
+// Spend takes one retry from the budget and reports whether it was available.
 func (b *Budget) Spend(now time.Duration, hosts int) bool {
 	b.refill(now, hosts)
 	if b.level < 1 {
@@ -49,16 +49,16 @@
 	return true
 }
 
-// cap is half of this host's part of the extra; the other half flows in over the window, so that
-// no window sees more than the whole.
-func (b *Budget) cap(hosts int) float64 {
-	return max(1, b.extra/2/float64(max(hosts, fewestHosts)))
+// maxLevel is half of this host's part of the extra; the other half is refilled over the window, so that no window
+// exceeds the whole.
+func (b *Budget) maxLevel(hosts int) float64 {
+	return max(1, b.extra/2/float64(max(hosts, minHosts)))
 }
 
 func (b *Budget) refill(now time.Duration, hosts int) {
 	if b.window > 0 && now > b.at {
-		part := b.extra / 2 / float64(max(hosts, fewestHosts))
-		b.level = min(b.cap(hosts), b.level+part*float64(now-b.at)/float64(b.window))
+		part := b.extra / 2 / float64(max(hosts, minHosts))
+		b.level = min(b.maxLevel(hosts), b.level+part*float64(now-b.at)/float64(b.window))
 	}
 	b.at = max(b.at, now)
 }
--- a/internal/limit/exhaustive_test.go
+++ b/internal/limit/exhaustive_test.go
@@ -10,12 +10,12 @@
 
 func (q *Quota) clone() *Quota {
 	c := *q
-	c.heard = maps.Clone(q.heard)
+	c.peerTotals = maps.Clone(q.peerTotals)
 	return &c
 }
 
-// Two hosts share a quota. Every order of eight things (a request at either, a word to either, a quarter
-// of a window) keeps the operators' bound, which is small here so that every request matters.
+// Two hosts share a quota. Every sequence of eight actions (a request at either, a total to either, a quarter of a
+// window) must keep the operators' bound, which is small here so that every request matters.
 func TestEveryShortHistoryOfAQuota(t *testing.T) {
 	const (
 		depth       = 8
@@ -24,8 +24,8 @@
 		span        = time.Second
 		quarter     = span / 4
 	)
-	allow := Allowance{Window: span, Over: 0.25, Slack: 20}
-	bound := (rate*span.Seconds()+burst)*(1+allow.Over) + allow.Slack
+	allow := Allowance{Window: span, Overage: 0.25, Slack: 20}
+	bound := (rate*span.Seconds()+burst)*(1+allow.Overage) + allow.Slack
 	type state struct {
 		q        [2]*Quota
 		now      time.Duration
@@ -33,26 +33,26 @@
 	}
 	var walk func(s state, left int)
 	walk = func(s state, left int) {
-		got := 0.0
+		admittedInSpan := 0.0
 		for at, v := range s.admitted {
 			if at > s.now-span {
-				got += v
+				admittedInSpan += v
 			}
 		}
-		require.LessOrEqual(t, got, bound)
+		require.LessOrEqual(t, admittedInSpan, bound)
 		if left == 0 {
 			return
 		}
-		for what := 0; what < 5; what++ {
+		for action := 0; action < 5; action++ {
 			n := state{[2]*Quota{s.q[0].clone(), s.q[1].clone()}, s.now, maps.Clone(s.admitted)}
-			switch what {
+			switch action {
 			case 0, 1:
-				if ok, _ := n.q[what].Admit(n.now, cost, alone(1, 2)); !ok {
-					continue // refused: nothing has changed but the clock of the bucket
+				if ok, _ := n.q[action].Admit(n.now, cost, oneHost(1, 2)); !ok {
+					continue // refused: only the bucket's clock has changed
 				}
 				n.admitted[n.now] += cost
 			case 2, 3:
-				n.q[what-2].Heard(Word{From: "other", Spent: n.q[3-what].Spent(), Young: true})
+				n.q[action-2].ApplyPeerTotal(PeerTotal{Peer: "other", Spent: n.q[3-action].Spent(), RecentlyStarted: true})
 			case 4:
 				n.now += quarter
 			}
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -14,22 +14,22 @@
 	window = 8 * time.Second
 )
 
-// Eight hosts each repeat whatever they may, for a minute, with callers unevenly spread and a restart
-// of all in between. Over every window the sum keeps the operators' bound, or a failing service
-// would be hit by a storm of repeats.
+// Up to twenty hosts retry whenever their budget allows, for over a minute, with callers unevenly spread and a restart
+// of all hosts in between. Over every window the sum must keep the operators' bound, or a failing service would be hit
+// by a retry storm.
 func TestRetryBudgetHoldsOverHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, extra, span = 0.2, 56.0, 10 * time.Second
 		hosts := rapid.IntRange(1, 20).Draw(t, "hosts")
 		load := rapid.IntRange(0, 40).Draw(t, "requests a step")
-		skew := rapid.IntRange(1, hosts).Draw(t, "hosts that get them")
+		busyHosts := rapid.IntRange(1, hosts).Draw(t, "hosts that get them")
 		restart := rapid.IntRange(0, 600).Draw(t, "restart at")
-		idle := rapid.IntRange(0, 1200).Draw(t, "idle until") // budgets save up meanwhile
+		idle := rapid.IntRange(0, 1200).Draw(t, "idle until") // budgets accumulate meanwhile
 		budgets := make([]*Budget, hosts)
 		for i := range budgets {
 			budgets[i] = NewBudget(ratio, extra, span)
 		}
-		var asked, repeated []int
+		var requested, retried []int
 		for n := 0; n < 1400; n++ {
 			now := time.Duration(n) * step
 			if n == restart {
@@ -37,29 +37,31 @@
 					budgets[i] = NewBudget(ratio, extra, span)
 				}
 			}
-			spent, asks := 0, load
+			spent, arrivals := 0, load
 			if n < idle {
-				asks = 0
+				arrivals = 0
 			}
-			for k := 0; k < asks; k++ {
-				b := budgets[(n+k)%skew]
+			for k := 0; k < arrivals; k++ {
+				b := budgets[(n+k)%busyHosts]
 				b.Earn(now, hosts)
-				// Each request is repeated as often as its host lets it.
+				// Each request is retried as often as its host's budget allows.
 				for b.Spend(now, hosts) {
 					spent++
 				}
 			}
-			asked, repeated = append(asked, asks), append(repeated, spent)
+			requested, retried = append(requested, arrivals), append(retried, spent)
 		}
 		steps := int(span / step)
-		for from := 0; from+steps <= len(asked); from++ {
-			require.LessOrEqual(t, float64(sum(repeated[from:from+steps])), ratio*float64(sum(asked[from:from+steps]))+extra)
+		for from := 0; from+steps <= len(requested); from++ {
+			require.LessOrEqual(t, float64(sum(retried[from:from+steps])), ratio*float64(sum(requested[from:from+steps]))+extra)
 		}
 	})
 }
 
-// alone is the part of a host that decides for itself only.
-func alone(heardShare float64, hosts int) Part { return Part{Hosts: hosts, For: 1, Heard: heardShare} }
+// oneHost returns the scope of a host that decides for itself only.
+func oneHost(reachable float64, hosts int) Scope {
+	return Scope{Hosts: hosts, Members: 1, Reachable: reachable}
+}
 
 func sum(list []int) int {
 	n := 0
@@ -69,79 +71,79 @@
 	return n
 }
 
-// world is some hosts that admit one workspace's requests and hear of each other with a delay.
-type world struct {
-	quotas []*Quota
-	cut    int // hosts below it do not hear those above
-	queue  []word
-	born   int             // step at which all started
-	parted map[[2]int]bool // pairs that have not heard each other since a cut
+// testFleet is a fleet of hosts that admit one workspace's requests and receive each other's totals with a delay.
+type testFleet struct {
+	quotas      []*Quota
+	partitionAt int // hosts below it are partitioned from the others; 0 for none
+	queue       []totalMessage
+	startStep   int             // step at which all hosts started
+	partitioned map[[2]int]bool // pairs that have exchanged no total since a partition
 }
 
-type word struct {
-	at    int
-	from  int
-	spent float64
-	young bool
+type totalMessage struct {
+	at              int
+	from            int
+	spent           float64
+	recentlyStarted bool
 }
 
 const (
-	// youngFor is how many steps after its start a host is young.
-	youngFor = 40
-	// heardBy is how many steps after a start of all hosts have heard each other. A cut before that is covered,
-	// but not one right after one of two starts of all within a window.
-	heardBy = 20
+	// recentSteps is how many steps after its start a host counts as recently started.
+	recentSteps = 40
+	// connectedAfter is how many steps after a start of all hosts each has received the totals of all others. A partition
+	// before that is covered, but not one right after the second of two starts of all hosts within a window.
+	connectedAfter = 20
 )
 
-// fleet is a world of hosts that have just started.
-func fleet(hosts int, rate, burst float64, allow Allowance) *world {
-	w := &world{parted: map[[2]int]bool{}}
+// newTestFleet returns hosts that have just started.
+func newTestFleet(hosts int, rate, burst float64, allow Allowance) *testFleet {
+	f := &testFleet{partitioned: map[[2]int]bool{}}
 	for i := 0; i < hosts; i++ {
-		w.quotas = append(w.quotas, NewQuota(0, rate, burst, allow))
+		f.quotas = append(f.quotas, NewQuota(0, rate, burst, allow))
 	}
-	return w
+	return f
 }
 
-// ask sends what is due at step n to random hosts, all of which are heard, and returns what is admitted.
-func (w *world) ask(rng *rand.Rand, n int, cost float64, due *float64) float64 {
+// send sends the requests due at step n to random hosts, all of which are reachable, and returns the admitted cost.
+func (f *testFleet) send(rng *rand.Rand, n int, cost float64, due *float64) float64 {
 	got := 0.0
 	for ; *due >= cost; *due -= cost {
-		to := w.quotas[rng.IntN(len(w.quotas))]
-		if ok, _ := to.Admit(time.Duration(n)*step, cost, alone(1, len(w.quotas))); ok {
+		to := f.quotas[rng.IntN(len(f.quotas))]
+		if ok, _ := to.Admit(time.Duration(n)*step, cost, oneHost(1, len(f.quotas))); ok {
 			got += cost
 		}
 	}
 	return got
 }
 
-func (w *world) deliver(n, delay int) {
-	for i, q := range w.quotas {
-		w.queue = append(w.queue, word{n + delay, i, q.Spent(), n < w.born+youngFor})
+func (f *testFleet) deliver(n, delay int) {
+	for i, q := range f.quotas {
+		f.queue = append(f.queue, totalMessage{n + delay, i, q.Spent(), n < f.startStep+recentSteps})
 	}
-	for len(w.queue) > 0 && w.queue[0].at <= n {
-		m := w.queue[0]
-		w.queue = w.queue[1:]
-		for to, q := range w.quotas {
+	for len(f.queue) > 0 && f.queue[0].at <= n {
+		m := f.queue[0]
+		f.queue = f.queue[1:]
+		for to, q := range f.quotas {
 			pair := [2]int{m.from, to}
-			if (to < w.cut) != (m.from < w.cut) {
-				w.parted[pair] = true
+			if (to < f.partitionAt) != (m.from < f.partitionAt) {
+				f.partitioned[pair] = true
 				continue
 			}
 			if to != m.from {
-				q.Heard(Word{From: string(rune('a' + m.from)), Spent: m.spent, InZone: true, Returned: w.parted[pair], Young: m.young})
-				delete(w.parted, pair)
+				q.ApplyPeerTotal(PeerTotal{Peer: string(rune('a' + m.from)), Spent: m.spent, InZone: true, Reconnected: f.partitioned[pair], RecentlyStarted: m.recentlyStarted})
+				delete(f.partitioned, pair)
 			}
 		}
 	}
 }
 
-// A workspace asks for many times its quota at all hosts at once, which hear of each other 50 to 300
-// ms late and are cut into two halves for a while; or 50 to 200 ms late, and restart together at any
-// moment. Over every window what is admitted keeps the
-// operators' bound; and a workspace that asks six tenths of its quota is refused nothing, cut or not.
+// A workspace requests many times its quota at all hosts at once. The hosts' totals arrive 50 to 300 ms late and the
+// hosts are partitioned into two halves for a while, or totals arrive 50 to 200 ms late and all hosts restart at any
+// step. Over every window the admitted cost must keep the operators' bound, and a workspace that requests at most six
+// tenths of its quota must be refused nothing, partitioned or not.
 func TestQuotaHoldsOverHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		allow := Allowance{Window: window, Over: 0.25, Slack: 190_000}
+		allow := Allowance{Window: window, Overage: 0.25, Slack: 190_000}
 		rate := float64(rapid.IntRange(10, 150).Draw(t, "thousands a second")) * 1000
 		burst := max(rate, 65_000)
 		restart := rapid.IntRange(-1, 800).Draw(t, "all restart at")
@@ -152,41 +154,41 @@
 		if restart >= 0 {
 			delay = min(delay, 4)
 		}
-		if restart > 0 && restart < int(window/step)+heardBy {
-			settled = heardBy // two starts of all within a window are not covered where a cut follows one at once
+		if restart > 0 && restart < int(window/step)+connectedAfter {
+			settled = connectedAfter // two starts of all hosts within a window are not covered if a partition follows at once
 		}
 		cutFrom := rapid.IntRange(0, 400).Draw(t, "cut from")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		w := fleet(hosts, rate, burst, allow)
+		f := newTestFleet(hosts, rate, burst, allow)
 		const cost, usual = 4000.0, 0.6
 		var admitted []float64
 		refused, due := 0, 0.0
 		for n := 0; n < 600; n++ {
 			now := time.Duration(n) * step
-			w.cut = 0
+			f.partitionAt = 0
 			share := 1.0
 			if n == restart {
-				for i := range w.quotas {
-					w.quotas[i] = NewQuota(now, rate, burst, allow)
+				for i := range f.quotas {
+					f.quotas[i] = NewQuota(now, rate, burst, allow)
 				}
-				w.queue, w.born = nil, n
+				f.queue, f.startStep = nil, n
 			}
-			if n >= cutFrom && n < cutFrom+100 && n >= w.born+settled {
-				w.cut = hosts / 2
+			if n >= cutFrom && n < cutFrom+100 && n >= f.startStep+settled {
+				f.partitionAt = hosts / 2
 			}
-			w.deliver(n, delay)
+			f.deliver(n, delay)
 			got := 0.0
 			due += rate * times * step.Seconds()
 			for due >= cost {
 				due -= cost
 				to := rng.IntN(hosts)
-				if w.cut > 0 {
-					share = float64(w.cut) / float64(hosts)
-					if to >= w.cut {
+				if f.partitionAt > 0 {
+					share = float64(f.partitionAt) / float64(hosts)
+					if to >= f.partitionAt {
 						share = 1 - share
 					}
 				}
-				if ok, _ := w.quotas[to].Admit(now, cost, alone(share, hosts)); ok {
+				if ok, _ := f.quotas[to].Admit(now, cost, oneHost(share, hosts)); ok {
 					got += cost
 				} else {
 					refused++
@@ -201,79 +203,78 @@
 	})
 }
 
-// A request larger than the whole bucket runs when the bucket is in credit; otherwise it never would.
+// A request larger than the whole bucket is admitted when the level is positive; otherwise it would never run.
 func TestRequestAboveTheBurstRuns(t *testing.T) {
 	q := NewQuota(0, 100, 100, Allowance{Window: window})
-	ok, _ := q.Admit(0, 5000, alone(1, 1))
+	ok, _ := q.Admit(0, 5000, oneHost(1, 1))
 	require.True(t, ok)
-	ok, back := q.Admit(time.Second, 1, alone(1, 1))
+	ok, retryAfter := q.Admit(time.Second, 1, oneHost(1, 1))
 	require.False(t, ok)
-	require.Positive(t, back)
+	require.Positive(t, retryAfter)
 }
 
-// A request that did not run is given back; a lowered quota binds at once.
+// The cost of a request that did not run is refunded; a lowered quota applies at once.
 func TestQuotaRefundAndLowering(t *testing.T) {
 	q := NewQuota(0, 100, 100, Allowance{Window: window})
-	ok, _ := q.Admit(0, 90, alone(1, 1))
+	ok, _ := q.Admit(0, 90, oneHost(1, 1))
 	require.True(t, ok)
 	q.Refund(90)
 	require.Zero(t, q.Spent())
 	q.Set(10, 10)
-	ok, _ = q.Admit(0, 10, alone(1, 1))
+	ok, _ = q.Admit(0, 10, oneHost(1, 1))
 	require.True(t, ok)
-	ok, _ = q.Admit(0, 10, alone(1, 1))
+	ok, _ = q.Admit(0, 10, oneHost(1, 1))
 	require.False(t, ok)
 }
 
-// A host starts beside others that have admitted a lot in hours, or hears a host again that it had
-// forgotten. It must not refuse everybody for what was admitted long ago.
+// A host starts beside others that have admitted a lot over hours, or reconnects to a host whose total it had dropped.
+// It must not refuse all requests because of what was admitted long ago.
 func TestFirstWordIsNotCharged(t *testing.T) {
 	q := NewQuota(0, 100, 100, Allowance{Window: window})
-	q.Heard(Word{From: "old", Spent: 1e9})
-	ok, _ := q.Admit(0, 10, alone(1, 2))
+	q.ApplyPeerTotal(PeerTotal{Peer: "old", Spent: 1e9})
+	ok, _ := q.Admit(0, 10, oneHost(1, 2))
 	require.True(t, ok)
-	q.Heard(Word{From: "old", Spent: 1e9 + 500})
-	ok, _ = q.Admit(0, 10, alone(1, 2))
-	require.False(t, ok, "what it admits from now on counts")
+	q.ApplyPeerTotal(PeerTotal{Peer: "old", Spent: 1e9 + 500})
+	ok, _ = q.Admit(0, 10, oneHost(1, 2))
+	require.False(t, ok, "what the peer admits from now on counts")
 }
 
-// A cut heals. What the others admitted meanwhile was kept back from the refill already; charging
-// it once more refused callers who were well under their quota.
+// A partition heals. What the others admitted meanwhile was already withheld from the refill; charging it again refused
+// callers who were well under their quota.
 func TestHealedCutIsNotChargedTwice(t *testing.T) {
 	q := NewQuota(0, 1000, 1000, Allowance{Window: window})
-	q.Heard(Word{From: "far", Spent: 0})
-	ok, _ := q.Admit(10*time.Second, 100, alone(0.5, 2))
+	q.ApplyPeerTotal(PeerTotal{Peer: "far", Spent: 0})
+	ok, _ := q.Admit(10*time.Second, 100, oneHost(0.5, 2))
 	require.True(t, ok)
-	q.Heard(Word{From: "far", Spent: 4000, Returned: true})
-	ok, _ = q.Admit(10*time.Second, 100, alone(1, 2))
+	q.ApplyPeerTotal(PeerTotal{Peer: "far", Spent: 4000, Reconnected: true})
+	ok, _ = q.Admit(10*time.Second, 100, oneHost(1, 2))
 	require.True(t, ok)
 }
 
-// Eighty hosts hear of each other half a second late, and one workspace asks for six times its quota at
-// all of them from one moment on. What all admit before they have heard is bounded by each host's own
-// part.
+// Eighty hosts receive each other's totals half a second late, and one workspace suddenly requests six times its quota
+// at all of them. What all hosts admit before the totals arrive is bounded by each host's own bucket.
 func TestManyHostsAdmitLittleBeforeTheyHear(t *testing.T) {
 	const hosts, rate, cost, delay = 80, 330_000.0, 4000.0, 10
-	allow := Allowance{Window: window, Over: 0.25, Slack: 190_000}
-	w := fleet(hosts, rate, rate, allow)
+	allow := Allowance{Window: window, Overage: 0.25, Slack: 190_000}
+	f := newTestFleet(hosts, rate, rate, allow)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var admitted []float64
 	due := 0.0
 	for n := 0; n < 400; n++ {
-		w.deliver(n, delay)
+		f.deliver(n, delay)
 		times := 0.4
 		if n >= 100 {
 			times = 6
 		}
 		due += rate * times * step.Seconds()
-		admitted = append(admitted, w.ask(rng, n, cost, &due))
+		admitted = append(admitted, f.send(rng, n, cost, &due))
 	}
 	requireBound(t, admitted, rate, rate, allow)
 }
 
-// requireBound checks the operators' bound over every window of admissions by step.
+// requireBound checks the operators' bound over every window, given the admitted cost of each step.
 func requireBound(t require.TestingT, admitted []float64, rate, burst float64, allow Allowance) {
-	bound := (rate*window.Seconds()+burst)*(1+allow.Over) + allow.Slack
+	bound := (rate*window.Seconds()+burst)*(1+allow.Overage) + allow.Slack
 	steps := int(window / step)
 	for from := 0; from+steps <= len(admitted); from++ {
 		got := 0.0
@@ -284,54 +285,53 @@
 	}
 }
 
-// An operator lowers a workspace's quota to a third of what it asks all the time. The operators'
-// bound, which lies well above the quota, still has room for most of that; who is refused within it
-// loses an answer for nothing.
+// An operator lowers a workspace's quota to a third of its steady demand. The operators' bound, which lies well above
+// the quota, still has room for most of that demand, and a request refused within the bound is refused for nothing.
 func TestSteadyDemandAboveTheQuotaUsesTheAllowance(t *testing.T) {
 	const hosts, rate, burst, cost, delay = 9, 13_000.0, 65_000.0, 3000.0, 2
-	allow := Allowance{Window: window, Over: 0.25, Slack: 190_000}
-	w := fleet(hosts, rate, burst, allow)
+	allow := Allowance{Window: window, Overage: 0.25, Slack: 190_000}
+	f := newTestFleet(hosts, rate, burst, allow)
 	rng := rand.New(rand.NewPCG(3, 4))
 	var admitted []float64
 	due, total := 0.0, 0.0
 	for n := 0; n < 600; n++ {
-		w.deliver(n, delay)
+		f.deliver(n, delay)
 		due += 3 * rate * step.Seconds()
-		got := w.ask(rng, n, cost, &due)
+		got := f.send(rng, n, cost, &due)
 		admitted = append(admitted, got)
 		total += got
 	}
 	requireBound(t, admitted, rate, burst, allow)
-	asked := 3 * rate * 600 * step.Seconds()
-	require.Greater(t, total, 0.55*asked)
+	requested := 3 * rate * 600 * step.Seconds()
+	require.Greater(t, total, 0.55*requested)
 }
 
-// A host that has just started claims to have admitted a million times the quota: a fault of its
-// counting, or of its memory. Others believe it for a window's length at most.
+// A host that has just started reports a million times the quota as admitted, because of a fault in its counting or its
+// memory. The others must not refuse requests for longer than about a window because of it.
 func TestAbsurdWordDoesNotRefuseForGood(t *testing.T) {
 	q := NewQuota(0, 1000, 1000, Allowance{Window: window})
-	q.Heard(Word{From: "mad", Spent: 1e9, Young: true})
-	ok, _ := q.Admit(time.Second, 10, alone(1, 2))
+	q.ApplyPeerTotal(PeerTotal{Peer: "mad", Spent: 1e9, RecentlyStarted: true})
+	ok, _ := q.Admit(time.Second, 10, oneHost(1, 2))
 	require.False(t, ok)
-	ok, _ = q.Admit(2*window, 10, alone(1, 2))
+	ok, _ = q.Admit(2*window, 10, oneHost(1, 2))
 	require.True(t, ok)
 }
 
-// All 86 hosts lose power and start together while a workspace asks for many times its quota, with requests
-// as large as a host's part of what may be saved up. Each bucket is in credit at first, and one in credit
-// admits a request of any size: the fleet admitted three times the burst at the first moment.
+// All 86 hosts start together after a power loss while a workspace requests many times its quota, with requests as
+// large as a host's share of the burst. Each bucket starts with a positive level and then admits a request of any size:
+// the fleet admitted three times the burst at the first moment.
 func TestStartOfALargeFleetIsStaggered(t *testing.T) {
 	const hosts, rate, cost = 86, 480_000.0, 10_400.0
 	rng := rand.New(rand.NewPCG(1, 1))
 	first := func(staggered bool) float64 {
 		got := 0.0
 		for i := 0; i < hosts; i++ {
-			q := NewQuota(0, rate, rate, Allowance{Window: window, Over: 0.25, Slack: 140_000})
+			q := NewQuota(0, rate, rate, Allowance{Window: window, Overage: 0.25, Slack: 140_000})
 			if staggered {
-				q.Stagger(rng.Float64())
+				q.StaggerStart(rng.Float64())
 			}
 			for ok := true; ok; {
-				if ok, _ = q.Admit(0, cost, alone(1, hosts)); ok {
+				if ok, _ = q.Admit(0, cost, oneHost(1, hosts)); ok {
 					got += cost
 				}
 			}
@@ -342,21 +342,21 @@
 	require.Less(t, first(true), 1.2*rate)
 }
 
-// Hundreds of hosts wait for a shared bucket that others have overdrawn. Each admitted a request larger than its own part in the
-// moment in which the bucket was in credit, together twice what it holds.
+// Hundreds of hosts wait for a shared bucket that others have overdrawn. Each admitted a request larger than its own
+// share as soon as the level was positive, together twice what the bucket holds.
 func TestHostsTakeTurnsAtAnOverdrawnBucket(t *testing.T) {
 	const hosts, rate, cost = 300, 640_000.0, 4500.0
 	rng := rand.New(rand.NewPCG(1, 1))
 	admitted := func(level float64) float64 {
 		got := 0.0
 		for range hosts {
-			q := NewQuota(0, rate, rate, Allowance{Window: window, Over: 0.25, Slack: 190_000})
-			q.TakeTurns(rng.Float64())
+			q := NewQuota(0, rate, rate, Allowance{Window: window, Overage: 0.25, Slack: 190_000})
+			q.SetAdmitThreshold(rng.Float64())
 			q.level = level * rate
-			if ok, back := q.Admit(0, cost, alone(1, hosts)); ok {
+			if ok, retryAfter := q.Admit(0, cost, oneHost(1, hosts)); ok {
 				got += cost
 			} else {
-				require.Positive(t, back)
+				require.Positive(t, retryAfter)
 			}
 		}
 		return got
@@ -366,38 +366,39 @@
 	require.InDelta(t, hosts*cost, admitted(1), 0.02*hosts*cost)
 }
 
-// In a fleet of hundreds each request of usual size is larger than a host's own part. That alone is no reason to tell the others in
-// half the time: all hosts did so all the while.
+// In a fleet of hundreds every usual request costs more than a host's own share. That alone must not make a host send
+// its totals at the faster rate: all hosts did so permanently.
 func TestUsualRequestIsNotTight(t *testing.T) {
-	q := NewQuota(0, 640_000, 640_000, Allowance{Window: window, Over: 0.25, Slack: 190_000})
+	q := NewQuota(0, 640_000, 640_000, Allowance{Window: window, Overage: 0.25, Slack: 190_000})
 	q.level = q.burst
-	ok, _ := q.Admit(0, 4500, alone(1, 300))
+	ok, _ := q.Admit(0, 4500, oneHost(1, 300))
 	require.True(t, ok)
-	require.False(t, q.Tight())
-	q.share = -3 * 4500
-	require.True(t, q.Tight())
+	require.False(t, q.NearlyExhausted())
+	q.ownLevel = -3 * 4500
+	require.True(t, q.NearlyExhausted())
 }
 
-// Guards against parts that hosts save up while an owner decides for them, and that all spend beside it once they are cut off.
+// Guards against hosts that accumulate their own shares while an owner decides for them, and all spend these on top of
+// what the owner admits once they lose contact with it.
 func TestOwnPartIsNotSavedUpWhileAnotherDecides(t *testing.T) {
-	q := NewQuota(0, 640_000, 640_000, Allowance{Window: window, Over: 0.25, Slack: 190_000})
-	q.TakeTurns(0.5)
-	p := alone(1, 96)
-	q.Decided(time.Minute, 4500, p)
-	ok, back := q.Admit(time.Minute, 4500, p)
+	q := NewQuota(0, 640_000, 640_000, Allowance{Window: window, Overage: 0.25, Slack: 190_000})
+	q.SetAdmitThreshold(0.5)
+	p := oneHost(1, 96)
+	q.NoteRemoteDecision(time.Minute, 4500, p)
+	ok, retryAfter := q.Admit(time.Minute, 4500, p)
 	require.False(t, ok)
-	require.Less(t, back, time.Second)
+	require.Less(t, retryAfter, time.Second)
 	ok, _ = q.Admit(time.Minute+time.Second, 4500, p)
 	require.True(t, ok)
 }
 
-// Guards against zones that each give out half more than their even part before they hear of each other.
+// Guards against zones that each admit half more than their even share before their totals reach each other.
 func TestZoneKeepsNearItsEvenPart(t *testing.T) {
 	const rate, cost, zones, hosts = 640_000.0, 1000.0, 6, 96
-	q := NewQuota(0, rate, rate, Allowance{Window: window, Over: 0.25, Slack: 190_000})
+	q := NewQuota(0, rate, rate, Allowance{Window: window, Overage: 0.25, Slack: 190_000})
 	admitted := 0.0
 	for ok := true; ok; {
-		if ok, _ = q.Admit(0, cost, Part{Hosts: hosts, For: hosts / zones, Heard: 1}); ok {
+		if ok, _ = q.Admit(0, cost, Scope{Hosts: hosts, Members: hosts / zones, Reachable: 1}); ok {
 			admitted += cost
 		}
 	}
--- a/internal/limit/main_test.go
+++ b/internal/limit/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The verdict of the randomised tests is the same every run, unless a seed is given.
+// The randomised tests run with a fixed seed, so that their outcome is the same each time, unless a seed is given.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -5,309 +5,321 @@
 	"time"
 )
 
-// Allowance tells how far a quota may be overdrawn, as the operators bound it: over any window,
-// (rate x window + burst) x (1 + Over) + Slack.
+// Allowance is the operators' bound on how far a quota may be overdrawn: over any window at most (rate x Window +
+// burst) x (1 + Overage) + Slack is admitted.
 type Allowance struct {
-	Window time.Duration
-	Over   float64
-	Slack  float64
+	Window  time.Duration
+	Overage float64
+	Slack   float64
 }
 
 const (
-	// useExtra is the part of the allowance above the plain quota that hosts use on purpose, evenly over
-	// the window. The rest covers what they admit before they have heard of each other, a beat's age
-	// times the demand, and what a restart of all hosts forgets. A workspace whose quota falls to a
-	// third of its usual demand had a tenth of all requests refused while the allowance only made
-	// the bucket deeper, though the operators' bound left room for nearly all of them.
-	useExtra = 0.3
-	// useExtraCoarse is the same where a host's own part of the burst is smaller than a usual request: more is admitted there
-	// before hosts have heard of each other.
-	useExtraCoarse = 0.1
-	// useExtraZone is the same where a host decides for its zone: zones hear of each other later than hosts.
-	useExtraZone = 0.2
-	// restartLevel is how full a bucket is at first: all hosts may have restarted at once, and have
-	// then forgotten what they admitted just before.
-	restartLevel = 0.5
-	// cutExtra is the part by which each side of a cut may go beyond its even share, out of the allowance: the callers
-	// of a zone that is cut off ask a little more or less than that. It is a part of the share and not of the quota,
-	// so that all sides together go beyond the quota by no more than this, however many they are.
-	cutExtra = 0.1
-	// skew is how many times its even part of a quota one host may use: the balancer spreads callers
-	// by a hash, and workspaces unevenly. It bounds what all hosts together admit within a beat's
-	// age when a workspace suddenly asks for many times its quota.
-	skew = 3
-	// largeFleet is from how many hosts on skewLarge holds: words take longer there, as they go through
-	// zones' sums, and even parts are more even. With three times the even part 79 hosts admitted 4 %
-	// over the allowance of a workspace that asked for nine times its quota. What goes beyond the even part
-	// shrinks with the hosts that are heard: nobody makes up for it by admitting less.
-	largeFleet = 17
-	skewLarge  = 1.5
-	// skewZone is the same for a host that decides for a whole zone: zones are more even than hosts.
-	skewZone = 1.25
-	// ownSkew is the same for a workspace most of whose callers have lately come to this host: its
-	// part of what was admitted, and half of that more.
-	ownSkew = 1.5
-	// withheldMost bounds what is kept back, in seconds of the quota.
-	withheldMost = 15 * time.Second
-	// latelyFor is how long admissions count as lately.
-	latelyFor = 5 * time.Second
-	// latelyLeast, in seconds of the quota, is taken as admitted by others before anything is heard:
-	// all hosts may have started at once.
-	latelyLeast = 0.5
-	// waitMost bounds the time to come back that an exhausted quota names.
-	waitMost = 10 * time.Second
+	// allowanceUse is the fraction of the allowance above the plain quota that is refilled on purpose, evenly over the
+	// window. The rest covers what hosts admit before their totals reach each other (heartbeat age times demand) and
+	// what a restart of all hosts forgets. When the allowance only made the bucket deeper, a workspace whose quota was
+	// lowered to a third of its usual demand had a tenth of all requests refused, although the operators' bound left
+	// room for nearly all of them.
+	allowanceUse = 0.3
+	// allowanceUseCoarse replaces allowanceUse where a host's own share of the burst is smaller than a usual request:
+	// more is then admitted before the hosts' totals reach each other.
+	allowanceUseCoarse = 0.1
+	// allowanceUseZone replaces allowanceUse where a host decides for its zone: totals of other zones arrive later than
+	// those of hosts in the same zone.
+	allowanceUseZone = 0.2
+	// initialLevel is the initial fill of a bucket as a fraction of the burst. All hosts may have restarted at once and
+	// lost track of what they admitted just before.
+	initialLevel = 0.5
+	// partitionOverage is the fraction by which each side of a network partition may exceed its even share, paid from
+	// the allowance, because the callers of a partitioned zone never match that share exactly. It is a fraction of the
+	// share and not of the quota, so that all sides together exceed the quota by no more than this, however many they
+	// are.
+	partitionOverage = 0.1
+	// maxSkew is how many times its even share of a quota one host may use, because the load balancer spreads callers
+	// by a hash and workspaces are spread unevenly. It bounds what all hosts together admit within the age of a
+	// heartbeat when a workspace suddenly requests many times its quota.
+	maxSkew = 3
+	// largeFleetSize is the number of hosts from which maxSkewLargeFleet applies. In a large fleet, totals travel
+	// through zone summaries and take longer, and the hosts' shares are more even. With three times the even share, 79
+	// hosts admitted 4 % over the allowance of a workspace that requested nine times its quota. The part above the even
+	// share shrinks with the fraction of hosts that can be reached, since no unreachable host compensates by admitting
+	// less.
+	largeFleetSize    = 17
+	maxSkewLargeFleet = 1.5
+	// maxSkewZone applies to a host that decides for a whole zone: load is spread more evenly over zones than over
+	// hosts.
+	maxSkewZone = 1.25
+	// recentSkew lets a host to which most of a workspace's callers have recently connected use its fraction of the
+	// recent admissions, and half of that more.
+	recentSkew = 1.5
+	// maxWithheld bounds what is withheld from the refill, in seconds of the quota.
+	maxWithheld = 15 * time.Second
+	// recentDecay is the time constant with which recent admissions decay.
+	recentDecay = 5 * time.Second
+	// minOthersRecent, in seconds of the quota, is assumed to have been admitted by other hosts before any total has
+	// arrived, because all hosts may have started at once.
+	minOthersRecent = 0.5
+	// maxRetryAfter bounds the retry time returned for an exhausted quota.
+	maxRetryAfter = 10 * time.Second
 )
 
-// Quota is one workspace's bucket as one host believes it to be: its own admissions at once, the
-// other hosts' as their beats tell.
+// Quota is one host's view of a workspace's token bucket. Its own admissions are charged at once, those of other hosts
+// when their totals arrive with heartbeats.
 type Quota struct {
 	rate, burst float64
 	allow       Allowance
 	level       float64
 	at          time.Duration
-	spent       float64 // by this host, since its start; what its beats tell
-	zone        float64 // by the hosts of this zone, as heard since its start, this one included
-	heard       map[string]float64
-	// share is this host's own bucket, which bounds what it admits before it has heard of others.
-	share   float64
-	shareAt time.Duration
-	// withheld is what was not refilled for the sake of silent parties.
+	spent       float64 // admitted by this host since its start, as sent in its heartbeats
+	zoneSpent   float64 // admitted by this zone's hosts, itself included, as known since its start
+	peerTotals  map[string]float64
+	// ownLevel is this host's own bucket, which bounds what it admits before the totals of others arrive.
+	ownLevel float64
+	ownAt    time.Duration
+	// withheld is what was not refilled on account of unreachable hosts.
 	withheld float64
-	// stagger is set until the first admission; see Stagger.
+	// stagger is non-zero until the first admission; see StaggerStart.
 	stagger float64
-	// turn is how full the bucket must be, as a part of the burst, for this host's next request, where requests are larger
-	// than its own part; see TakeTurns. usual is the learned cost of a request.
-	turn, usual float64
-	// coarse tells that a usual request is larger than this host's own part of the burst, in a large fleet.
+	// admitThreshold is the fraction of the burst that the bucket must hold for this host's next request, where
+	// requests are larger than the host's own share; see SetAdmitThreshold. usualCost is the moving average of request
+	// costs.
+	admitThreshold, usualCost float64
+	// coarse is set if a usual request costs more than this host's own share of the burst, in a large fleet.
 	coarse bool
-	// forZone tells that this host decides for its zone.
+	// forZone is set if this host decides for its zone.
 	forZone bool
-	// ownLately and othersLately are admissions that fade with latelyFor.
-	ownLately, othersLately float64
+	// ownRecent and othersRecent are admissions that decay with recentDecay.
+	ownRecent, othersRecent float64
 }
 
-// NewQuota returns a full bucket.
+// NewQuota returns a bucket that is filled to initialLevel, with the host's own bucket full.
 func NewQuota(now time.Duration, rate, burst float64, a Allowance) *Quota {
-	q := &Quota{allow: a, at: now, heard: map[string]float64{}}
+	q := &Quota{allow: a, at: now, peerTotals: map[string]float64{}}
 	q.Set(rate, burst)
-	q.level = restartLevel * q.burst
-	q.share, q.shareAt = q.burst, now
+	q.level = initialLevel * q.burst
+	q.ownLevel, q.ownAt = q.burst, now
 	return q
 }
 
-// Stagger is for a host that has just started, with a random part between 0 and 1: in a large fleet its own
-// bucket begins between full and as much in debt. A bucket in credit admits a request of any size, so that
-// after a start of all of 86 hosts each admitted one at once, together several times what the workspace may
-// save up, and 3 to 5 % more than the operators' bound in the window; staggered, they do over a second or two.
-func (q *Quota) Stagger(part float64) { q.stagger = part }
+// StaggerStart sets a random fraction between 0 and 1 on a host that has just started: in a large fleet its own bucket
+// then starts between full and equally far in debt. A bucket with a positive level admits a request of any size. After
+// a restart of all of 86 hosts each admitted one at once, together several times the workspace's burst and 3 to 5 %
+// over the operators' bound in the window. Staggered, these admissions spread over a second or two.
+func (q *Quota) StaggerStart(fraction float64) { q.stagger = fraction }
 
-// TakeTurns sets where this host begins among those that share the quota, with a random part between 0 and 1. In a fleet of
-// hundreds a host's own part is smaller than one request, and a bucket in credit admits any: all hosts would go into debt in
-// the same moment, each time the bucket is in credit again. So their turns come one after the other as it fills.
-func (q *Quota) TakeTurns(part float64) { q.turn = part }
+// SetAdmitThreshold sets this host's first admission threshold to a random fraction between 0 and 1. In a fleet of
+// hundreds a host's own share is smaller than one request, and a bucket with a positive level admits a request of any
+// size: without thresholds all hosts would go into debt at the same moment, whenever the bucket turns positive. With
+// them, the hosts admit one after the other as the bucket fills.
+func (q *Quota) SetAdmitThreshold(fraction float64) { q.admitThreshold = fraction }
 
-// turnStep spreads a host's turns evenly, whatever their number: the golden ratio.
-const turnStep = 0.6180339887498949
+// thresholdStep is the golden ratio, which spreads a host's successive thresholds evenly, whatever their number.
+const thresholdStep = 0.6180339887498949
 
-// usualRate is the weight of a request's cost: costs differ a hundredfold.
-const usualRate = 0.05
+// usualCostWeight is the weight of one request in the moving average; costs differ a hundredfold.
+const usualCostWeight = 0.05
 
-func (q *Quota) learnUsual(cost float64, p Part) {
-	if q.usual == 0 {
-		q.usual = cost
+func (q *Quota) updateUsualCost(cost float64, s Scope) {
+	if q.usualCost == 0 {
+		q.usualCost = cost
 	}
-	q.usual += usualRate * (cost - q.usual)
-	q.forZone = p.For > 1
-	q.coarse = p.Hosts >= largeFleet && q.usual > q.burst*q.part(p)
+	q.usualCost += usualCostWeight * (cost - q.usualCost)
+	q.forZone = s.Members > 1
+	q.coarse = s.Hosts >= largeFleetSize && q.usualCost > q.burst*q.allowedShare(s)
 }
 
-// hasTurn tells whether the bucket is full enough for this host's next request.
-func (q *Quota) hasTurn() bool { return !q.coarse || q.level > q.turn*q.burst }
+// aboveThreshold reports whether the bucket is full enough for this host's next request.
+func (q *Quota) aboveThreshold() bool { return !q.coarse || q.level > q.admitThreshold*q.burst }
 
-// Set takes a new rate and burst. The level falls at once to a lower bucket.
+// Set changes rate and burst. A level above the new burst is lowered to it at once.
 func (q *Quota) Set(rate, burst float64) {
 	q.rate, q.burst = rate, burst
 	q.level = min(q.level, q.burst)
 }
 
-// Allow takes another allowance.
-func (q *Quota) Allow(a Allowance) {
+// SetAllowance changes the allowance.
+func (q *Quota) SetAllowance(a Allowance) {
 	q.allow = a
 	q.level = min(q.level, q.burst)
 }
 
-// refillRate is what flows back a second: the quota's rate and a part of the allowance. Over any window
-// the bucket then lets through rate x window + burst and useExtra of what the operators allow above it.
+// refillRate is the refill per second: the quota's rate plus a part of the allowance. Over any window the bucket then
+// admits rate x window + burst and that part (allowanceUse) of what the operators allow above it.
 func (q *Quota) refillRate() float64 {
 	w := q.allow.Window.Seconds()
 	if w <= 0 {
 		return q.rate
 	}
-	use := useExtra
+	fraction := allowanceUse
 	switch {
 	case q.coarse:
-		use = useExtraCoarse
+		fraction = allowanceUseCoarse
 	case q.forZone:
-		use = useExtraZone
+		fraction = allowanceUseZone
 	}
-	extra := q.allow.Over*(q.rate*w+q.burst) + q.allow.Slack
-	return q.rate + use*extra/w
+	extra := q.allow.Overage*(q.rate*w+q.burst) + q.allow.Slack
+	return q.rate + fraction*extra/w
 }
 
-// refill lets time pass. heardShare is the part of the hosts whose admissions are being heard: the
-// others, cut off or just gone, are taken to use their even share of the rate meanwhile.
-func (q *Quota) refill(now time.Duration, heardShare float64) {
+// refill adds what has accrued since the last call. reachable is the fraction of hosts whose totals arrive; the others,
+// partitioned or just gone, are assumed to use their even share of the rate meanwhile.
+func (q *Quota) refill(now time.Duration, reachable float64) {
 	if now > q.at {
-		heardShare = min(1, heardShare*(1+cutExtra))
-		whole := q.refillRate() * (now - q.at).Seconds()
-		// What the bucket holds belongs to the silent parties too: twelve hosts that were each cut off from all
-		// others let twelve full buckets through.
-		q.level = min(q.burst*heardShare, q.level+whole*heardShare)
-		// What is kept back is for parties that may never be heard again.
-		q.withheld = min(q.rate*withheldMost.Seconds(), q.withheld+whole*(1-heardShare))
+		reachable = min(1, reachable*(1+partitionOverage))
+		accrued := q.refillRate() * (now - q.at).Seconds()
+		// The level is part of what unreachable hosts may use as well: twelve hosts that were each cut off from all
+		// others admitted twelve full buckets.
+		q.level = min(q.burst*reachable, q.level+accrued*reachable)
+		// withheld is bounded because it may be for hosts that never return.
+		q.withheld = min(q.rate*maxWithheld.Seconds(), q.withheld+accrued*(1-reachable))
 		q.at = now
 	}
 }
 
-// Part tells for which part of the hosts that share a quota a host decides.
-type Part struct {
-	// Hosts are all that share it, and For those that the host decides for, itself included.
-	Hosts, For int
-	// Heard is the part of Hosts whose admissions are being heard.
-	Heard float64
+// Scope is the set of hosts that a decision covers, among those that share a quota.
+type Scope struct {
+	// Hosts is the number of hosts that share the quota, and Members the number that the decision covers, this host
+	// included.
+	Hosts, Members int
+	// Reachable is the fraction of Hosts whose totals arrive.
+	Reachable float64
 }
 
-// even is the part of the quota that falls to the hosts decided for, if all use the same.
-func (p Part) even() float64 { return float64(max(1, p.For)) / float64(max(p.Hosts, fewestHosts)) }
+// evenShare is the fraction of the quota that falls to the covered hosts if all hosts use the same.
+func (s Scope) evenShare() float64 {
+	return float64(max(1, s.Members)) / float64(max(s.Hosts, minHosts))
+}
 
-// part is how much of the quota this host may use by itself. What it lately admitted counts in proportion to
-// the hosts that it hears: one that hears nobody takes all callers for its own.
-func (q *Quota) part(p Part) float64 {
-	times := float64(skew)
+// allowedShare is the fraction of the quota that this host may use by itself. Its own recent admissions count in
+// proportion to the hosts it can reach; otherwise a host that reaches no other would take all callers for its own.
+func (q *Quota) allowedShare(s Scope) float64 {
+	times := float64(maxSkew)
 	switch {
-	case p.For > 1:
-		times = 1 + (skewZone-1)*p.Heard
-	case p.Hosts >= largeFleet:
-		times = 1 + (skewLarge-1)*p.Heard
+	case s.Members > 1:
+		times = 1 + (maxSkewZone-1)*s.Reachable
+	case s.Hosts >= largeFleetSize:
+		times = 1 + (maxSkewLargeFleet-1)*s.Reachable
 	}
-	lately := p.Heard * ownSkew * q.ownLately / max(1, q.ownLately+q.othersLately+latelyLeast*q.rate)
-	return min(1, max(times*p.even(), lately))
+	recentShare := s.Reachable * recentSkew * q.ownRecent / max(1, q.ownRecent+q.othersRecent+minOthersRecent*q.rate)
+	return min(1, max(times*s.evenShare(), recentShare))
 }
 
-// refillShare lets time pass in this host's own bucket.
-func (q *Quota) refillShare(now time.Duration, p Part) {
-	past := max(0, (now - q.shareAt).Seconds())
-	fade := math.Exp(-past / latelyFor.Seconds())
-	q.ownLately *= fade
-	q.othersLately *= fade
-	part := q.part(p)
-	if q.stagger > 0 && p.Hosts >= largeFleet {
-		q.share = q.burst * part * (1 - 2*q.stagger)
+// refillOwn refills this host's own bucket and decays the recent admissions.
+func (q *Quota) refillOwn(now time.Duration, s Scope) {
+	elapsed := max(0, (now - q.ownAt).Seconds())
+	decay := math.Exp(-elapsed / recentDecay.Seconds())
+	q.ownRecent *= decay
+	q.othersRecent *= decay
+	share := q.allowedShare(s)
+	if q.stagger > 0 && s.Hosts >= largeFleetSize {
+		q.ownLevel = q.burst * share * (1 - 2*q.stagger)
 	}
 	q.stagger = 0
-	q.share = min(q.burst*part, q.share+q.refillRate()*part*past)
-	q.shareAt = max(q.shareAt, now)
+	q.ownLevel = min(q.burst*share, q.ownLevel+q.refillRate()*share*elapsed)
+	q.ownAt = max(q.ownAt, now)
 }
 
-// Admit takes cost from the bucket, or tells when to come back.
-func (q *Quota) Admit(now time.Duration, cost float64, p Part) (ok bool, back time.Duration) {
-	q.refill(now, p.Heard)
-	q.refillShare(now, p)
-	q.learnUsual(cost, p)
-	if q.share <= 0 {
-		need := -q.share / max(1, q.refillRate()*q.part(p))
-		return false, min(waitMost, time.Duration(need*float64(time.Second)))
+// Admit takes cost from the bucket, or returns the time after which to retry.
+func (q *Quota) Admit(now time.Duration, cost float64, s Scope) (ok bool, retryAfter time.Duration) {
+	q.refill(now, s.Reachable)
+	q.refillOwn(now, s)
+	q.updateUsualCost(cost, s)
+	if q.ownLevel <= 0 {
+		need := -q.ownLevel / max(1, q.refillRate()*q.allowedShare(s))
+		return false, min(maxRetryAfter, time.Duration(need*float64(time.Second)))
 	}
-	// A bucket in credit admits a request of any size, or one above the burst would never run.
+	// A bucket with a positive level admits a request of any size; otherwise one above the burst would never run.
 	if q.level <= 0 {
 		need := (-q.level + cost) / max(1, q.refillRate())
-		return false, min(waitMost, time.Duration(need*float64(time.Second)))
+		return false, min(maxRetryAfter, time.Duration(need*float64(time.Second)))
 	}
-	if !q.hasTurn() {
-		need := (q.turn*q.burst - q.level) / max(1, q.refillRate())
-		return false, min(waitMost, time.Duration(need*float64(time.Second)))
+	if !q.aboveThreshold() {
+		need := (q.admitThreshold*q.burst - q.level) / max(1, q.refillRate())
+		return false, min(maxRetryAfter, time.Duration(need*float64(time.Second)))
 	}
-	q.turn = math.Mod(q.turn+turnStep, 1)
+	q.admitThreshold = math.Mod(q.admitThreshold+thresholdStep, 1)
 	q.level -= cost
-	q.share -= cost
+	q.ownLevel -= cost
 	q.spent += cost
-	q.zone += cost
-	q.ownLately += cost
+	q.zoneSpent += cost
+	q.ownRecent += cost
 	return true, 0
 }
 
-// Decided notes that another host decided over a request for this one, whose own part is not saved up meanwhile: hosts that are
-// all cut off at once would each spend it, beside what the others admit. They begin to admit one after the other.
-func (q *Quota) Decided(now time.Duration, cost float64, p Part) {
-	q.refillShare(now, p)
-	q.learnUsual(cost, p)
-	q.share = min(q.share, -q.turn*q.usual)
+// NoteRemoteDecision records that another host has decided on a request for this one. The host's own share doesn't
+// accumulate meanwhile: hosts that all lose contact at once would each spend it, on top of what the others admit.
+// Instead they start to admit one after the other.
+func (q *Quota) NoteRemoteDecision(now time.Duration, cost float64, s Scope) {
+	q.refillOwn(now, s)
+	q.updateUsualCost(cost, s)
+	q.ownLevel = min(q.ownLevel, -q.admitThreshold*q.usualCost)
 }
 
-// Refund gives back what did not run after all; what was admitted before this host's start is not known to it.
+// Refund returns the cost of a request that did not run. Admissions from before this host's start aren't refunded,
+// since it has no record of them.
 func (q *Quota) Refund(cost float64) {
 	cost = min(cost, q.spent)
 	q.level = min(q.burst, q.level+cost)
-	q.share += cost
+	q.ownLevel += cost
 	q.spent -= cost
-	q.zone -= cost
+	q.zoneSpent -= cost
 }
 
-// Left is what the bucket holds, and what this host's own part of it holds, for logs.
-func (q *Quota) Left() (all, own float64) { return q.level, q.share }
+// Remaining is the level of the shared bucket and of this host's own, for logs.
+func (q *Quota) Remaining() (shared, own float64) { return q.level, q.ownLevel }
 
-// Tight tells that what others admit matters soon: the bucket is half empty, or this host is in debt by more than a usual request,
-// as all hosts are at once when a workspace suddenly asks for many times its quota.
-func (q *Quota) Tight() bool { return q.level < q.burst/2 || q.share < -q.usual }
+// NearlyExhausted reports whether the admissions of others matter soon: the bucket is less than half full, or this host
+// is in debt by more than a usual request, as all hosts are at once when a workspace suddenly requests many times its
+// quota.
+func (q *Quota) NearlyExhausted() bool { return q.level < q.burst/2 || q.ownLevel < -q.usualCost }
 
-// Spent is what this host has admitted since its start.
+// Spent is the total that this host has admitted since its start.
 func (q *Quota) Spent() float64 { return q.spent }
 
-// ZoneSpent is what the hosts of this zone have admitted, as this one has heard since its start.
-func (q *Quota) ZoneSpent() float64 { return q.zone }
+// ZoneSpent is the total that the hosts of this zone have admitted, as known since this host's start.
+func (q *Quota) ZoneSpent() float64 { return q.zoneSpent }
 
-// Word is how another party's sum is to be taken.
-type Word struct {
-	// From names the party with its incarnation.
-	From  string
+// PeerTotal is the running total of another host or zone, with how to apply it.
+type PeerTotal struct {
+	// Peer names the host or zone with its incarnation.
+	Peer  string
 	Spent float64
-	// InZone tells that it counts for this zone's sum.
+	// InZone is set if the total counts towards this zone's own.
 	InZone bool
-	// Returned tells that the party was silent before: what it admitted meanwhile was withheld from
-	// this host's refill already.
-	Returned bool
-	// Young tells that the party has just started, so that its whole sum is recent.
-	Young bool
+	// Reconnected is set if the peer was unreachable before: what it admitted meanwhile was already withheld from this
+	// host's refill.
+	Reconnected bool
+	// RecentlyStarted is set if the peer has just started, so that all of its total is recent.
+	RecentlyStarted bool
 }
 
-// Heard takes another host's or zone's sum since its start. The first word only sets where to count
-// from, unless the party is young: a host that has just started would otherwise charge its bucket
-// with all that the others have admitted in hours, and refuse everybody. Hosts that start together
-// admit before they hear of each other, and that has to count.
-func (q *Quota) Heard(w Word) {
-	last, known := q.heard[w.From]
-	q.heard[w.From] = w.Spent
-	if !known && !w.Young {
+// ApplyPeerTotal charges what a peer has admitted since its last total. The first total of a peer only sets where to
+// count from, unless the peer has recently started: a host that has just started would otherwise charge its bucket with
+// all that the others have admitted in hours, and refuse every request. What hosts that start together admit before
+// their totals reach each other has to count, however.
+func (q *Quota) ApplyPeerTotal(t PeerTotal) {
+	last, known := q.peerTotals[t.Peer]
+	q.peerTotals[t.Peer] = t.Spent
+	if !known && !t.RecentlyStarted {
 		return
 	}
-	more := w.Spent - last
-	q.othersLately += more
-	if w.InZone {
-		q.zone += more
+	more := t.Spent - last
+	q.othersRecent += more
+	if t.InZone {
+		q.zoneSpent += more
 	}
-	if w.Returned {
+	if t.Reconnected {
 		covered := min(q.withheld, more)
 		q.withheld -= covered
 		more -= covered
 	}
-	q.level = min(q.burst, max(q.lowest(), q.level-more))
+	q.level = min(q.burst, max(q.minLevel(), q.level-more))
 }
 
-// lowest bounds how far others' words overdraw the bucket: what a window can bring. A word that says
-// more is wrong, and would refuse the workspace for good.
-func (q *Quota) lowest() float64 {
+// minLevel bounds how far peers' totals can overdraw the bucket: by what can be admitted in one window. A total beyond
+// that is wrong, and would block the workspace for good.
+func (q *Quota) minLevel() float64 {
 	return -(q.burst + q.refillRate()*max(1, q.allow.Window.Seconds()))
 }
 
-// Forget drops the memory of a host incarnation that is gone.
-func (q *Quota) Forget(host string) { delete(q.heard, host) }
+// Forget drops the last total of a host incarnation that is gone.
+func (q *Quota) Forget(host string) { delete(q.peerTotals, host) }
--- a/internal/quarantine/digest.go
+++ b/internal/quarantine/digest.go
@@ -6,24 +6,24 @@
 	"encoding/hex"
 )
 
-// Digest names a request by what makes it the same when its caller sends it again: workspace, method, host, target and
-// body. An attempt's ID does not, as each attempt has another. It is a truncated SHA-256, so that no caller can word a
-// request that is taken for another one.
+// Digest identifies a request by what stays the same when its caller sends it again: workspace, method, host, target
+// and body. The attempt ID isn't part of it, as each attempt has another. It is a truncated SHA-256, so that no caller
+// can craft a request that collides with another one.
 type Digest [16]byte
 
-// Identity is what a digest is made of.
+// Identity holds the parts of a request that its digest covers.
 type Identity struct {
 	// Workspace is empty on public routes.
 	Workspace string
 	Method    string
 	Host      string
 	Target    string
-	// Body is what was buffered of the body, Length its whole length, or -1 where that is not known.
+	// Body is the buffered part of the body; Length is the length of the whole body, or -1 if that is not known.
 	Body   []byte
 	Length int64
 }
 
-// Digest of an identity. Each part is preceded by its length, so that no two identities run together.
+// Digest hashes the identity. Each part is preceded by its length, so that parts cannot run into each other.
 func (id Identity) Digest() Digest {
 	h := sha256.New()
 	var size [8]byte
@@ -39,8 +39,8 @@
 	return d
 }
 
-// Zero tells that no digest was made.
+// Zero reports whether the digest is unset.
 func (d Digest) Zero() bool { return d == Digest{} }
 
-// String is the digest as logs tell it.
+// String returns a short form for logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:8]) }
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,9 +1,9 @@
-// Package quarantine finds the requests that end the backend servers that run them, and keeps them from
-// backend servers. It is pure: time is an argument, and what hosts tell each other comes in as words.
+// Package quarantine detects requests that crash the backend servers that run them, and keeps them away from backend
+// servers. It is pure: the time is an argument, and what other hosts have observed comes in as messages.
 //
-// Two requests that are at one backend server when it ends look alike there: the one that ended it and those that were
-// beside it. What tells them apart is the next end. So a ledger counts, for each request that was in flight at an end, at
-// which ends it was; a request is the cause if it was at three of them that no other cause explains, and has not run to
-// a good end since. The verdict follows from the ends alone, so that hosts that know the same ends agree, and an
-// innocent request is free again as soon as the ends it was at are explained by another.
+// When a backend server ends with two requests in flight, the cause and the bystander can't be told apart. The next end
+// can tell them apart. So a ledger records, for each request that was in flight when a backend server ended, at which
+// ends it was in flight. A request counts as the cause if it was in flight at three ends that no other cause explains,
+// and hasn't completed since. The verdict depends on the ends alone, so that hosts that know the same ends agree, and a
+// bystander is released as soon as another request explains the ends that it was in flight at.
 package quarantine
--- a/internal/quarantine/judge.go
+++ b/internal/quarantine/judge.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// judge blames the fewest requests that explain the ends: the one that was at most of them first, the next by what that
-// leaves unexplained. A request that was beside the cause each time is at fewer ends than the cause as soon as either
-// comes without the other, and is then free; where both were at the same ends, the next one decides.
+// assignBlame assigns blame to the fewest requests that explain the ends: first the one that was in flight at most of them,
+// the next by what that leaves unexplained. A bystander that was in flight together with the cause at all ends so far
+// is released as soon as an end occurs with only one of them in flight; until then, digest order decides between
+// equals.
 //
-// It runs on the control thread, and callers can fill the ledger: but for the choice of the next cause, its work is in
-// proportion to the ends.
-func (l *Ledger) judge() {
-	var open []*Case
+// It runs on the control thread, and callers can fill the ledger. Except for choosing the next cause, its work is
+// proportional to the number of ends.
+func (l *Ledger) assignBlame() {
+	var suspects []*Case
 	for _, c := range l.cases {
 		c.blamed = false
-		if len(c.Ends) >= endsToBlame {
-			open = append(open, c)
+		if len(c.Ends) >= minEndsToBlame {
+			suspects = append(suspects, c)
 		}
 	}
-	slices.SortFunc(open, byDigest) // the same on all hosts
-	ends := l.sameEnds(open)
-	unexplained, endsOf := make([]int, len(open)), make([][]int, len(open))
+	slices.SortFunc(suspects, byDigest) // the same on all hosts
+	ends := l.groupEnds(suspects)
+	unexplained, endsOf := make([]int, len(suspects)), make([][]int, len(suspects))
 	for e, at := range ends {
 		for _, i := range at {
 			unexplained[i]++
@@ -29,11 +30,11 @@
 		}
 	}
 	for {
-		worst := mostOf(unexplained)
-		if worst < 0 || unexplained[worst] < endsToBlame {
+		worst := indexOfMax(unexplained)
+		if worst < 0 || unexplained[worst] < minEndsToBlame {
 			return
 		}
-		open[worst].blamed = true
+		suspects[worst].blamed = true
 		for _, e := range endsOf[worst] {
 			for _, i := range ends[e] {
 				unexplained[i]--
@@ -43,41 +44,41 @@
 	}
 }
 
-// mostOf is the first place of the greatest number; negative where there is none.
-func mostOf(numbers []int) int {
-	most := -1
+// indexOfMax returns the first index of the greatest number, or -1 for an empty list.
+func indexOfMax(numbers []int) int {
+	best := -1
 	for i, n := range numbers {
-		if most < 0 || n > numbers[most] {
-			most = i
+		if best < 0 || n > numbers[best] {
+			best = i
 		}
 	}
-	return most
+	return best
 }
 
-// sameEnds are the ends of some cases, each once, with the places of the cases that were at it. Words of one end may differ by a
-// moment.
-func (l *Ledger) sameEnds(cases []*Case) [][]int {
-	type place struct {
+// groupEnds groups the cases by end: each element holds the indices of the cases that were in flight at that end. Times
+// reported for one end may differ by up to sameEndWithin.
+func (l *Ledger) groupEnds(cases []*Case) [][]int {
+	type caseEnd struct {
 		End
-		of int
+		index int
 	}
-	var all []place
+	var all []caseEnd
 	for i, c := range cases {
 		for _, e := range c.Ends {
-			all = append(all, place{e, i})
+			all = append(all, caseEnd{e, i})
 		}
 	}
-	slices.SortFunc(all, func(a, b place) int {
-		return cmp.Or(cmp.Compare(a.Backend, b.Backend), cmp.Compare(a.At, b.At), cmp.Compare(a.of, b.of))
+	slices.SortFunc(all, func(a, b caseEnd) int {
+		return cmp.Or(cmp.Compare(a.Backend, b.Backend), cmp.Compare(a.At, b.At), cmp.Compare(a.index, b.index))
 	})
 	var out [][]int
 	var first End
 	for _, p := range all {
-		if len(out) == 0 || p.Backend != first.Backend || p.At-first.At > l.oneEnd {
+		if len(out) == 0 || p.Backend != first.Backend || p.At-first.At > l.sameEndWithin {
 			first = p.End
 			out = append(out, nil)
 		}
-		out[len(out)-1] = append(out[len(out)-1], p.of)
+		out[len(out)-1] = append(out[len(out)-1], p.index)
 	}
 	return out
 }
--- a/internal/quarantine/judge_test.go
+++ b/internal/quarantine/judge_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// plainVerdict is the rule in its plainest form: again and again the request at most ends that nothing explains yet, the first by
-// digest among equals.
-func plainVerdict(l *Ledger) map[Digest]bool {
+// referenceVerdict is the rule in its simplest form: repeatedly blame the request with the most unexplained ends, the
+// lowest digest among equals.
+func referenceVerdict(l *Ledger) map[Digest]bool {
 	blamed, explained := map[Digest]bool{}, map[uint32]bool{}
 	for {
 		var worst *Case
-		most := endsToBlame - 1
+		most := minEndsToBlame - 1
 		for _, c := range l.cases {
 			n := 0
 			for _, e := range c.Ends {
@@ -37,7 +37,7 @@
 	}
 }
 
-// The verdict is that of the rule in its plainest form, for any requests at any ends.
+// The verdict matches the reference for any combination of requests and ends.
 func TestVerdictFollowsTheRule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger()
@@ -46,38 +46,39 @@
 			backend := rapid.Uint32Range(0, 25).Draw(t, "backend")
 			ended(l, time.Duration(backend)*time.Second, backend, name)
 		}
-		want := plainVerdict(l)
+		want := referenceVerdict(l)
 		for d, c := range l.cases {
 			require.Equal(t, want[d], c.blamed)
 		}
 	})
 }
 
-// fullLedger has as many requests as it remembers, four of four workspaces at the same three ends each.
+// fullLedger returns a ledger at its capacity: four workspaces with four requests for each set of three ends.
 func fullLedger() *Ledger {
 	l := NewLedger()
-	for w := range maxCases / maxOfWorkspace {
-		for i := range maxOfWorkspace {
-			for e := range endsToBlame {
-				l.Saw(0, digestOf(fmt.Sprint(w, "/", i)), fmt.Sprint(w), End{uint32(e*1000 + i), time.Duration(e)})
+	for w := range maxCases / maxCasesPerWorkspace {
+		for i := range maxCasesPerWorkspace {
+			for e := range minEndsToBlame {
+				l.Observe(0, digestOf(fmt.Sprint(w, "/", i)), fmt.Sprint(w), End{uint32(e*1000 + i), time.Duration(e)})
 			}
 		}
 	}
 	return l
 }
 
-// Requests that were at the same ends explain them equally well; one of them is blamed, the same on all hosts.
+// Requests that were in flight at the same ends explain them equally well; exactly one is blamed, and the same one on
+// all hosts.
 func TestEqualsAreToldApartByDigest(t *testing.T) {
 	l := fullLedger()
 	require.Len(t, l.cases, maxCases)
-	require.Len(t, l.Quarantined(), maxOfWorkspace)
+	require.Len(t, l.Quarantined(), maxCasesPerWorkspace)
 }
 
-// BenchmarkJudge is what an end costs the control thread at worst, in which no request is decided: half a second when cases
-// were compared one by one.
+// BenchmarkJudge measures the worst-case cost of one end on the control thread, which makes no other decision
+// meanwhile. Comparing the cases pairwise took half a second.
 func BenchmarkJudge(b *testing.B) {
 	l := fullLedger()
 	for b.Loop() {
-		l.judge()
+		l.assignBlame()
 	}
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -9,60 +9,61 @@
 )
 
 const (
-	// endsToBlame is how many backend servers must have ended with a request in flight for it to count as the cause.
-	// With two, a caller that repeats once after a rack is lost would be shut out.
-	endsToBlame = 3
-	// maxEnds bounds the ends that are kept of a request: more than endsToBlame, so that the cause stands out from what
-	// was beside it.
+	// minEndsToBlame is how many ends a request must be in flight at to count as their cause. With two, a caller that
+	// retries once after the loss of a rack would be quarantined.
+	minEndsToBlame = 3
+	// maxEnds bounds the ends kept for a request. It is well above minEndsToBlame, so that the cause stands out from
+	// requests that were in flight beside it.
 	maxEnds = 16
-	// maxCases and maxOfWorkspace bound what is remembered, some 300 bytes a case. One workspace's requests cannot
+	// maxCases and maxCasesPerWorkspace bound the memory, at about 300 bytes a case. One workspace's requests cannot
 	// displace what is known of the others'.
-	maxCases       = 1024
-	maxOfWorkspace = 256
-	// suspectFor is how long a request at which too few ended is remembered, and blameFor one that is the cause.
-	suspectFor = time.Hour
-	blameFor   = 24 * time.Hour
-	// trialFirst is how long a request stays shut out at least, and trialGrowth how many times as long as its ends have
-	// lasted: one that is innocent gets a chance after a minute, one that goes on ending backend servers does so after
-	// 11 minutes, two hours, and a day.
-	trialFirst  = time.Minute
-	trialGrowth = 10
-	// clearSlack is how much later a success must be than the known one to be news: hosts' clocks are compared by the age
-	// of what they say.
+	maxCases             = 1024
+	maxCasesPerWorkspace = 256
+	// suspectTTL is how long a case with too few ends is kept, and blameTTL one that counts as a cause.
+	suspectTTL = time.Hour
+	blameTTL   = 24 * time.Hour
+	// minTrialDelay is how long a request stays quarantined at least, and trialBackoff the factor on the time over
+	// which its ends have occurred: an innocent request gets a trial after a minute; one that keeps crashing backend
+	// servers does so after 11 minutes, two hours, and a day.
+	minTrialDelay = time.Minute
+	trialBackoff  = 10
+	// clearSlack is how much later than the known one a completed run must be to count as a change: hosts derive such
+	// times from ages in each other's messages, which are not exact.
 	clearSlack = time.Second
 )
 
-// End is the end of a backend server, named by a hash, with a request in flight.
+// End is the end of a backend server, identified by a hash of its name, while a request was in flight.
 type End struct {
 	Backend uint32
 	At      time.Duration
 }
 
-// Case is what is known of one request.
+// Case is the record of one request that was in flight when backend servers ended.
 type Case struct {
 	Digest    Digest
 	Workspace string
-	// Ends are in order of time; none is older than the latest success, at ClearedAt, if Cleared.
+	// Ends are in order of time; if Cleared, all are later than the latest completed run, at ClearedAt.
 	Ends      []End
 	Cleared   bool
 	ClearedAt time.Duration
-	// changedAt is when this host last learned something of it, and seenAt when it last saw something itself, if seen.
-	changedAt, seenAt time.Duration
-	seen, blamed      bool
-	// triedUntil is until when a trial is under way.
-	triedUntil time.Duration
+	// changedAt is when the case last changed on this host, and observedAt when this host last observed something
+	// itself, if observed is set.
+	changedAt, observedAt time.Duration
+	observed, blamed      bool
+	// trialUntil is when the current trial ends.
+	trialUntil time.Duration
 }
 
-// Blamed tells that the request counts as the cause of its ends.
+// Blamed reports whether the request counts as the cause of its ends.
 func (c *Case) Blamed() bool { return c.blamed }
 
-// TrialAt is the moment at which a request that is shut out may run once to show that it does no harm.
+// TrialAt is the time from which a quarantined request may run once, to show that it does no harm.
 func (c *Case) TrialAt() time.Duration {
 	first, last := c.Ends[0].At, c.Ends[len(c.Ends)-1].At
-	return last + max(trialFirst, trialGrowth*(last-first))
+	return last + max(minTrialDelay, trialBackoff*(last-first))
 }
 
-func (c *Case) lastAt() time.Duration {
+func (c *Case) lastEventAt() time.Duration {
 	at := c.ClearedAt
 	if n := len(c.Ends); n > 0 {
 		at = max(at, c.Ends[n-1].At)
@@ -70,33 +71,35 @@
 	return at
 }
 
-// Ledger remembers requests that were in flight when backend servers ended. Times are on one host's clock.
+// Ledger records the requests that were in flight when backend servers ended. All times are on the local host's clock.
 type Ledger struct {
 	cases map[Digest]*Case
-	// oneEnd is how far apart two words of an end of the same backend server are at most to mean the same end.
-	oneEnd time.Duration
-	// allZonesAt is when other zones are next told all.
-	allZonesAt time.Duration
+	// sameEndWithin is the greatest difference in time at which two reports of an end of one backend server mean the
+	// same end.
+	sameEndWithin time.Duration
+	// nextFullAt is when the full state is next sent to other zones.
+	nextFullAt time.Duration
 }
 
-// NewLedger returns an empty one, where each start of a backend server has a name of its own: it ends once.
-func NewLedger() *Ledger { return NewLedgerOfNames(math.MaxInt64) }
+// NewLedger returns an empty ledger for backend servers that get a new name with each start, so that each name ends
+// once.
+func NewLedger() *Ledger { return NewLedgerForReusedNames(math.MaxInt64) }
 
-// NewLedgerOfNames returns an empty one, where a backend server keeps its name over its starts: two words of its end that are no
-// further apart mean the same end.
-func NewLedgerOfNames(oneEnd time.Duration) *Ledger {
-	return &Ledger{cases: map[Digest]*Case{}, oneEnd: oneEnd}
+// NewLedgerForReusedNames returns an empty ledger for backend servers that keep their name over restarts: two reports
+// of an end at most sameEndWithin apart mean the same end.
+func NewLedgerForReusedNames(sameEndWithin time.Duration) *Ledger {
+	return &Ledger{cases: map[Digest]*Case{}, sameEndWithin: sameEndWithin}
 }
 
-// known tells whether an end is among some.
-func (l *Ledger) known(ends []End, e End) bool {
-	return slices.ContainsFunc(ends, func(k End) bool { return k.Backend == e.Backend && (k.At-e.At).Abs() <= l.oneEnd })
+// contains reports whether ends include e.
+func (l *Ledger) contains(ends []End, e End) bool {
+	return slices.ContainsFunc(ends, func(k End) bool { return k.Backend == e.Backend && (k.At-e.At).Abs() <= l.sameEndWithin })
 }
 
-// Empty tells that there is nothing to look up.
+// Empty reports whether there are no cases to look up.
 func (l *Ledger) Empty() bool { return len(l.cases) == 0 }
 
-// Blamed is the case of a request that is the cause of ends; nil where it is not.
+// Blamed returns the case of a request that counts as a cause, or nil.
 func (l *Ledger) Blamed(d Digest) *Case {
 	if c := l.cases[d]; c != nil && c.blamed {
 		return c
@@ -104,36 +107,37 @@
 	return nil
 }
 
-// Saw notes an end that this host saw, and Ended one of which it was told. They report whether that was news.
-func (l *Ledger) Saw(now time.Duration, d Digest, workspace string, e End) bool {
-	if !l.Ended(now, d, workspace, e) {
+// Observe records an end that this host has observed itself. It reports whether that changed anything.
+func (l *Ledger) Observe(now time.Duration, d Digest, workspace string, e End) bool {
+	if !l.RecordEnd(now, d, workspace, e) {
 		return false
 	}
-	l.cases[d].seen, l.cases[d].seenAt = true, now
+	l.cases[d].observed, l.cases[d].observedAt = true, now
 	return true
 }
 
-// Ended notes the end of a backend server with a request in flight.
-func (l *Ledger) Ended(now time.Duration, d Digest, workspace string, e End) bool {
+// RecordEnd records the end of a backend server with a request in flight, also one reported by another host. It reports
+// whether that changed anything.
+func (l *Ledger) RecordEnd(now time.Duration, d Digest, workspace string, e End) bool {
 	c := l.cases[d]
 	switch {
-	case d.Zero() || now-e.At > blameFor:
+	case d.Zero() || now-e.At > blameTTL:
 		return false
 	case c == nil:
-		c = l.open(now, d, workspace)
+		c = l.newCase(now, d, workspace)
 	case c.Cleared && e.At <= c.ClearedAt:
 		return false
-	case l.known(c.Ends, e):
+	case l.contains(c.Ends, e):
 		return false
 	}
 	at, _ := slices.BinarySearchFunc(c.Ends, e, byTime)
 	c.Ends = slices.Insert(c.Ends, at, e)
 	if len(c.Ends) > maxEnds {
-		c.Ends = slices.Delete(c.Ends, 1, 2) // the first tells how long it has gone on
+		c.Ends = slices.Delete(c.Ends, 1, 2) // the first is kept: TrialAt measures from it
 	}
 	c.changedAt = now
-	if len(c.Ends) >= endsToBlame {
-		l.judge()
+	if len(c.Ends) >= minEndsToBlame {
+		l.assignBlame()
 	}
 	return true
 }
@@ -145,18 +149,20 @@
 	return cmp.Compare(a.Backend, b.Backend)
 }
 
-// Ran notes that this host saw the request run to a good end, and Cleared that it was told so. Only what is under
-// suspicion is noted. They report whether that was news.
-func (l *Ledger) Ran(now time.Duration, d Digest) bool {
-	if !l.Cleared(now, d, now) {
+// ObserveSuccess records that this host has seen the request complete. Only requests that have a case are recorded. It
+// reports whether that changed anything.
+func (l *Ledger) ObserveSuccess(now time.Duration, d Digest) bool {
+	if !l.RecordSuccess(now, d, now) {
 		return false
 	}
-	l.cases[d].seen, l.cases[d].seenAt = true, now
+	l.cases[d].observed, l.cases[d].observedAt = true, now
 	return true
 }
 
-// Cleared notes that a request has run to a good end: what ends each backend server that runs it does not.
-func (l *Ledger) Cleared(now time.Duration, d Digest, at time.Duration) bool {
+// RecordSuccess records that a request has completed at the given time, also as reported by another host. That refutes
+// the earlier ends as evidence: a request that crashes every backend server never completes. It reports whether that
+// changed anything.
+func (l *Ledger) RecordSuccess(now time.Duration, d Digest, at time.Duration) bool {
 	c := l.cases[d]
 	if c == nil {
 		return false
@@ -167,66 +173,67 @@
 		return false
 	}
 	c.Cleared, c.ClearedAt, c.changedAt = true, max(c.ClearedAt, at), now
-	if before >= endsToBlame {
-		l.judge()
+	if before >= minEndsToBlame {
+		l.assignBlame()
 	}
 	return true
 }
 
-// Try reports whether a request that is shut out may run once, and takes that chance.
-func (l *Ledger) Try(now time.Duration, c *Case, during time.Duration) bool {
-	if now < c.TrialAt() || now < c.triedUntil {
+// TakeTrial reports whether a quarantined request may run once now, and if so starts a trial for the given duration.
+func (l *Ledger) TakeTrial(now time.Duration, c *Case, duration time.Duration) bool {
+	if now < c.TrialAt() || now < c.trialUntil {
 		return false
 	}
-	c.triedUntil = now + during
+	c.trialUntil = now + duration
 	return true
 }
 
-// open begins a case; where there are too many, the least telling one goes, of the same workspace if that has its share.
-func (l *Ledger) open(now time.Duration, d Digest, workspace string) *Case {
+// newCase adds a case. If there are too many, it evicts the least relevant one, of the same workspace if that has
+// reached its share.
+func (l *Ledger) newCase(now time.Duration, d Digest, workspace string) *Case {
 	own := 0
 	for _, c := range l.cases {
 		if c.Workspace == workspace {
 			own++
 		}
 	}
-	if own >= maxOfWorkspace || len(l.cases) >= maxCases {
-		l.drop(own >= maxOfWorkspace, workspace)
+	if own >= maxCasesPerWorkspace || len(l.cases) >= maxCases {
+		l.evict(own >= maxCasesPerWorkspace, workspace)
 	}
 	c := &Case{Digest: d, Workspace: workspace, changedAt: now}
 	l.cases[d] = c
 	return c
 }
 
-func (l *Ledger) drop(ofWorkspace bool, workspace string) {
+func (l *Ledger) evict(ofWorkspace bool, workspace string) {
 	var least *Case
 	for _, c := range l.cases {
 		if ofWorkspace && c.Workspace != workspace {
 			continue
 		}
-		if least == nil || moreTelling(least, c) < 0 {
+		if least == nil || byRelevance(least, c) < 0 {
 			least = c
 		}
 	}
 	delete(l.cases, least.Digest)
 }
 
-// moreTelling orders cases: those with more ends first, then those that changed last.
-func moreTelling(a, b *Case) int {
+// byRelevance orders cases with more ends first, then those that changed last.
+func byRelevance(a, b *Case) int {
 	return cmp.Or(cmp.Compare(len(b.Ends), len(a.Ends)), cmp.Compare(b.changedAt, a.changedAt), byDigest(a, b))
 }
 
-// Cases are all, the most telling first.
+// Cases returns all cases, the most relevant first.
 func (l *Ledger) Cases() []*Case {
 	out := make([]*Case, 0, len(l.cases))
 	for _, c := range l.cases {
 		out = append(out, c)
 	}
-	slices.SortFunc(out, moreTelling)
+	slices.SortFunc(out, byRelevance)
 	return out
 }
 
-// Quarantined are the requests that count as causes, in order of their digests.
+// Quarantined returns the cases that count as causes, in order of their digests.
 func (l *Ledger) Quarantined() []*Case {
 	var out []*Case
 	for _, c := range l.cases {
@@ -240,20 +247,20 @@
 
 func byDigest(a, b *Case) int { return bytes.Compare(a.Digest[:], b.Digest[:]) }
 
-// Expire forgets what is old.
+// Expire removes cases that are past their TTL.
 func (l *Ledger) Expire(now time.Duration) {
 	gone := false
 	for d, c := range l.cases {
-		keep := suspectFor
+		keep := suspectTTL
 		if c.blamed {
-			keep = blameFor
+			keep = blameTTL
 		}
-		if now-c.lastAt() > keep {
+		if now-c.lastEventAt() > keep {
 			delete(l.cases, d)
 			gone = true
 		}
 	}
 	if gone {
-		l.judge()
+		l.assignBlame()
 	}
 }
--- /dev/null
+++ b/internal/quarantine/messages.go
@@ -0,0 +1,103 @@
+package quarantine
+
+import (
+	"slices"
+	"time"
+
+	"fireflyshift/internal/quarantine/quarantinepb"
+)
+
+const (
+	// announceDuration is how long a change is included in every message: long enough that lost messages do not matter.
+	announceDuration = 3 * time.Second
+	// maxChanged bounds the requests in a message with recent changes, and maxFull those in one with the full state, at
+	// about 50 bytes each.
+	maxChanged = 16
+	maxFull    = 64
+	// maxWorkspaceName bounds the length of a workspace's name that is accepted from another host.
+	maxWorkspaceName = 128
+)
+
+// FullInterval is how often the full state is sent, for hosts that have started, slept or were unreachable.
+const FullInterval = time.Second
+
+// OwnChanges returns what this host has recently observed itself.
+func (l *Ledger) OwnChanges(now time.Duration) []*quarantinepb.Suspect {
+	return l.messages(now, maxChanged, func(c *Case) bool { return c.observed && now-c.observedAt <= announceDuration })
+}
+
+// changes returns what this host has recently observed or learned from others.
+func (l *Ledger) changes(now time.Duration) []*quarantinepb.Suspect {
+	return l.messages(now, maxChanged, func(c *Case) bool { return now-c.changedAt <= announceDuration })
+}
+
+// Full returns what this host knows, the most relevant cases first, up to maxFull.
+func (l *Ledger) Full(now time.Duration) []*quarantinepb.Suspect {
+	return l.messages(now, maxFull, func(*Case) bool { return true })
+}
+
+// ForZones returns what is sent to other zones: the full state every FullInterval, and in between all recent changes,
+// whichever host observed them.
+func (l *Ledger) ForZones(now time.Duration) []*quarantinepb.Suspect {
+	if now < l.nextFullAt {
+		return l.changes(now)
+	}
+	l.nextFullAt = now + FullInterval
+	return l.Full(now)
+}
+
+func (l *Ledger) messages(now time.Duration, limit int, include func(*Case) bool) []*quarantinepb.Suspect {
+	var selected []*Case
+	for _, c := range l.cases {
+		if include(c) {
+			selected = append(selected, c)
+		}
+	}
+	slices.SortFunc(selected, byRelevance)
+	var out []*quarantinepb.Suspect
+	for _, c := range selected[:min(len(selected), limit)] {
+		out = append(out, c.message(now))
+	}
+	return out
+}
+
+func (c *Case) message(now time.Duration) *quarantinepb.Suspect {
+	s := &quarantinepb.Suspect{Digest: slices.Clone(c.Digest[:]), Workspace: c.Workspace}
+	if c.Cleared {
+		s.ClearedMs = age(now, c.ClearedAt) + 1
+	}
+	for _, e := range c.Ends {
+		s.Ends = append(s.Ends, &quarantinepb.BackendEnd{Backend: e.Backend, AgeMs: age(now, e.At)})
+	}
+	return s
+}
+
+// age is the time since at in milliseconds. Cases expire long before it overflows.
+func age(now, at time.Duration) uint32 { return uint32(max(0, now-at).Milliseconds()) }
+
+func millis(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
+
+// Merge applies another host's message and reports whether it changed anything. Invalid entries are skipped.
+func (l *Ledger) Merge(now time.Duration, list []*quarantinepb.Suspect) bool {
+	changed := false
+	for _, s := range list[:min(len(list), maxFull)] {
+		changed = l.mergeOne(now, s) || changed
+	}
+	return changed
+}
+
+func (l *Ledger) mergeOne(now time.Duration, s *quarantinepb.Suspect) bool {
+	var d Digest
+	if len(s.Digest) != len(d) || len(s.Workspace) > maxWorkspaceName {
+		return false
+	}
+	copy(d[:], s.Digest)
+	changed := false
+	for _, e := range s.Ends {
+		changed = l.RecordEnd(now, d, s.Workspace, End{Backend: e.Backend, At: now - millis(e.AgeMs)}) || changed
+	}
+	if s.ClearedMs > 0 {
+		changed = l.RecordSuccess(now, d, now-millis(s.ClearedMs-1)) || changed
+	}
+	return changed
+}
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -276,8 +276,8 @@
 	for _, s := range spent {
 		m.spent[s.Workspace] = s.Amount
 		if q, ok := r.quotas[s.Workspace]; ok {
-			q.Heard(limit.Word{From: m.quotaKey, Spent: float64(s.Amount), InZone: m.zone == r.opt.Zone, Returned: returned, Young: r.now-m.startedAt <= newHostDuration})
-			if q.Tight() {
+			q.ApplyPeerTotal(limit.PeerTotal{Peer: m.quotaKey, Spent: float64(s.Amount), InZone: m.zone == r.opt.Zone, Reconnected: returned, RecentlyStarted: r.now-m.startedAt <= newHostDuration})
+			if q.NearlyExhausted() {
 				r.zones.tightUntil = r.now + tightFor
 			}
 		}
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -237,14 +237,14 @@
 		return
 	}
 	q = limit.NewQuota(r.now, w.Rate, w.Burst, r.allowance())
-	q.TakeTurns(r.rng.Float64())
+	q.SetAdmitThreshold(r.rng.Float64())
 	if r.now < unheardFor {
-		q.Stagger(r.rng.Float64())
+		q.StaggerStart(r.rng.Float64())
 	}
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
 		if s, ok := m.spent[w.Name]; ok {
-			q.Heard(limit.Word{From: m.quotaKey, Spent: float64(s)})
+			q.ApplyPeerTotal(limit.PeerTotal{Peer: m.quotaKey, Spent: float64(s)})
 		}
 	}
 	r.quotas[w.Name] = q
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -19,7 +19,7 @@
 	if c == nil {
 		return 0, false
 	}
-	if q.attempt == 0 && r.tries(c.Digest) && r.suspects.ledger.Try(r.now, c, trialFor) {
+	if q.attempt == 0 && r.tries(c.Digest) && r.suspects.ledger.TakeTrial(r.now, c, trialFor) {
 		q.onTrial = true
 		r.emit(Note{What: "request on trial", Subject: c.Digest.String(), Detail: c.Workspace})
 		return 0, false
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -63,14 +63,14 @@
 
 // ownPart is the part of a host that decides for itself only, zonePart that of one that decides for the hosts of its zone that it
 // hears.
-func (r *Router) ownPart() limit.Part {
+func (r *Router) ownPart() limit.Scope {
 	known, heard := r.census()
-	return limit.Part{Hosts: known, For: 1, Heard: float64(heard) / float64(known)}
+	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(heard) / float64(known)}
 }
 
-func (r *Router) zonePart() limit.Part {
+func (r *Router) zonePart() limit.Scope {
 	p := r.ownPart()
-	_, p.For = r.directCensus()
+	_, p.Members = r.directCensus()
 	return p
 }
 
@@ -104,7 +104,7 @@
 }
 
 // chargeHere decides by what this host believes of the quota.
-func (r *Router) chargeHere(q *request, part limit.Part) {
+func (r *Router) chargeHere(q *request, part limit.Scope) {
 	quota := r.quotas[q.Workspace.Name]
 	ok, back := r.admit(quota, q.Cost, part)
 	if !ok {
@@ -116,9 +116,9 @@
 	r.admitted(q)
 }
 
-func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Part) (ok bool, back time.Duration) {
+func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Scope) (ok bool, back time.Duration) {
 	ok, back = quota.Admit(r.now, cost, part)
-	if quota.Tight() {
+	if quota.NearlyExhausted() {
 		r.quotaLowUntil = r.now + tightFor
 	}
 	return ok, back
@@ -128,7 +128,7 @@
 	g := r.grounds()
 	g.ViewAge = r.oldestBelief()
 	g.Quota.Cost = q.Cost
-	g.Quota.Remaining, g.Quota.OwnShare = quota.Left()
+	g.Quota.Remaining, g.Quota.OwnShare = quota.Remaining()
 	return g
 }
 
@@ -158,7 +158,7 @@
 	if known && slices.Contains(r.quotaOwners(c.Workspace), r.opt.Host) {
 		ok, back := r.admit(quota, cost, r.zonePart())
 		answer.Unknown, answer.Admitted, answer.BackMs = false, ok, uint32(max(0, back.Milliseconds()))
-		answer.Left, answer.Own = quota.Left()
+		answer.Left, answer.Own = quota.Remaining()
 	}
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Charged: answer}})
 }
@@ -193,7 +193,7 @@
 	}
 	q.charging = nil
 	if quota := r.quotas[c.workspace]; quota != nil {
-		quota.Decided(r.now, c.cost, r.ownPart())
+		quota.NoteRemoteDecision(r.now, c.cost, r.ownPart())
 	}
 	if a.Admitted {
 		q.charged, q.chargedBy = true, from
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -191,13 +191,13 @@
 		s.budget = nil
 	}
 	for _, q := range r.quotas {
-		q.Allow(r.allowance())
+		q.SetAllowance(r.allowance())
 	}
 }
 
 func (r *Router) allowance() limit.Allowance {
 	b := r.opt.Bounds
-	return limit.Allowance{Window: b.QuotaWindow, Over: b.QuotaOver, Slack: b.QuotaSlack}
+	return limit.Allowance{Window: b.QuotaWindow, Overage: b.QuotaOver, Slack: b.QuotaSlack}
 }
 
 func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -54,7 +54,7 @@
 	}
 	switch e.Outcome {
 	case Answered:
-		if e.Success && r.suspects.ledger.Ran(r.now, q.Digest) {
+		if e.Success && r.suspects.ledger.ObserveSuccess(r.now, q.Digest) {
 			r.noteBlame()
 		}
 	case Broken, TimedOut, Canceled:
@@ -122,7 +122,7 @@
 
 // sawEnd books the end of a backend server on a request that was in flight there.
 func (r *Router) sawEnd(b *backend, run brokenRun) {
-	if !r.suspects.ledger.Saw(r.now, run.digest, run.workspace, quarantine.End{Backend: b.hash, At: run.at}) {
+	if !r.suspects.ledger.Observe(r.now, run.digest, run.workspace, quarantine.End{Backend: b.hash, At: run.at}) {
 		return
 	}
 	r.emit(Note{What: "backend server ended with a request in hand", Subject: b.ID, Detail: run.digest.String() + " " + run.workspace})
@@ -167,20 +167,20 @@
 }
 
 // newSuspects are what this host has newly seen itself, for its beats.
-func (r *Router) newSuspects() []*quarantinepb.Suspect { return r.suspects.ledger.OwnNews(r.now) }
+func (r *Router) newSuspects() []*quarantinepb.Suspect { return r.suspects.ledger.OwnChanges(r.now) }
 
 // allSuspects are all requests that are known, if this host is to tell its zone of them now.
 func (r *Router) allSuspects() []*quarantinepb.Suspect {
 	if r.now < r.suspects.allAt || !r.Suspects() || !r.duty("tells suspects", tellers) {
 		return nil
 	}
-	r.suspects.allAt = r.now + quarantine.TellAllEvery
-	return r.suspects.ledger.All(r.now)
+	r.suspects.allAt = r.now + quarantine.FullInterval
+	return r.suspects.ledger.Full(r.now)
 }
 
 // takeSuspects takes what another host tells of requests.
 func (r *Router) takeSuspects(list []*quarantinepb.Suspect) {
-	if r.suspects.ledger.Hear(r.now, list) {
+	if r.suspects.ledger.Merge(r.now, list) {
 		r.noteBlame()
 	}
 }
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -328,7 +328,7 @@
 	r.takeOwnersFailing(s.Failing)
 	for _, sp := range s.Spent {
 		if q, ok := r.quotas[sp.Workspace]; ok {
-			q.Heard(limit.Word{From: z.key(), Spent: float64(sp.Amount), Returned: returned, Young: time.Duration(s.AgeMs)*time.Millisecond <= newHostDuration})
+			q.ApplyPeerTotal(limit.PeerTotal{Peer: z.key(), Spent: float64(sp.Amount), Reconnected: returned, RecentlyStarted: time.Duration(s.AgeMs)*time.Millisecond <= newHostDuration})
 		}
 	}
 	z.raw = nil
