--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -170,7 +170,7 @@
 		return nil
 	}
 	back := time.Duration(float64(time.Second) / float64(part))
-	return fault.New(fault.RateLimited, "workspace %s is over its rate of %g a second", workspace, w.Rate).After(max(back, 100*time.Millisecond))
+	return fault.New(fault.RateLimited, "workspace %s is over its rate of %g a second", workspace, w.Rate).WithRetryAfter(max(back, 100*time.Millisecond))
 }
 
 // grant handles the permission to dispatch. The sent mark is set here, before the effect leaves the
--- a/internal/core/seek.go
+++ b/internal/core/seek.go
@@ -242,7 +242,7 @@
 		f = fault.New(fault.Displaced, "the work was suspended and could not go on")
 	}
 	if after > 0 {
-		f = f.After(after)
+		f = f.WithRetryAfter(after)
 	}
 	return f
 }
--- a/internal/core/suspects.go
+++ b/internal/core/suspects.go
@@ -54,7 +54,7 @@
 	if found == nil || r.onTrial {
 		return nil
 	}
-	return fault.New(fault.Quarantined, "request %s has ended %d backend servers", r.Digest, len(found.Ends)).After(max(time.Second, found.TrialAt()-c.now))
+	return fault.New(fault.Quarantined, "request %s has ended %d backend servers", r.Digest, len(found.Ends)).WithRetryAfter(max(time.Second, found.TrialAt()-c.now))
 }
 
 // allowTrial tells whether a new request in quarantine may run all the same, to show whether it does harm. One host of the fleet
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -107,7 +107,7 @@
 	c := core.New(core.Options{Self: self, Incarnation: incarnation, Sched: sched.DefaultOptions(), MaxRequests: set.Limits.MaxRequests})
 	ctl := newControl(c, m, telemetry.For(log, "control"))
 	d := &Daemon{set: set, log: telemetry.For(log, "daemon"), tracing: tracing, metrics: m, control: ctl,
-		connections: ingress.New(edge.NotRunLine)}
+		connections: ingress.New(edge.NotRunHeader)}
 	d.sender = peer.NewSender(ctx, peer.Options{
 		Self:   &peerpb.Sender{Host: self.ID, Incarnation: incarnation, Zone: self.Zone, Addr: self.Addr},
 		Creds:  clientCreds,
@@ -145,7 +145,7 @@
 	}, d.control, d.tracing, d.metrics, telemetry.For(log, "edge"))
 	d.callers = &http.Server{Handler: d.edge.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: d.set.Limits.MaxHeaderBytes}
-	d.connections.Guard(d.callers, http.HandlerFunc(d.edge.TurnAway))
+	d.connections.Guard(d.callers, http.HandlerFunc(d.edge.RejectShutdown))
 	d.admin = &http.Server{Handler: admin.Handler(d, d.metrics), ReadHeaderTimeout: headerTimeout}
 }
 
@@ -229,7 +229,7 @@
 	for time.Now().Before(until) {
 		held := 0
 		known := d.control.query(queryTimeout, func(c *core.Core) { held = c.Requests() })
-		if known && held == 0 && d.connections.End() {
+		if known && held == 0 && d.connections.TryStop() {
 			return true
 		}
 		if !timing.Sleep(hard, drainPoll) {
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -121,7 +121,7 @@
 		}
 		after = ev.Next
 		if len(ev.Evicted) > 0 {
-			w.post(core.CacheEvicted{Backend: e.Name, Hashes: engine.Short(ev.Evicted)})
+			w.post(core.CacheEvicted{Backend: e.Name, Hashes: engine.ShortHashes(ev.Evicted)})
 		}
 	}
 }
--- a/internal/edge/body.go
+++ b/internal/edge/body.go
@@ -22,7 +22,7 @@
 func (s *Server) readBody(w http.ResponseWriter, c *call) ([]byte, *fault.Error) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(s.opt.BodyTimeout))
-	stop := ingress.CutReads(s.ending, rc)
+	stop := ingress.AbortReads(s.ending, rc)
 	data, err := io.ReadAll(http.MaxBytesReader(w, c.Body, s.opt.MaxBodyBytes))
 	stop()
 	var tooLarge *http.MaxBytesError
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -46,7 +46,7 @@
 	}
 	sub.Digest = digest(c, data)
 	prompt := b.prompt()
-	sub.PromptTokens, sub.OutputTokens, sub.Prefix = tokens(prompt), b.MaxTokens, engine.Short(engine.PrefixHashes(prompt))
+	sub.PromptTokens, sub.OutputTokens, sub.Prefix = tokens(prompt), b.MaxTokens, engine.ShortHashes(engine.PrefixHashes(prompt))
 	s.fly(c, sub, &modelAttempt{server: s, call: c, body: body, sink: newSink(w, c, b.Stream, s.opt.MaxAnswerBytes),
 		exported: make(chan *engine.KV, 1)})
 	return nil
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -7,8 +7,8 @@
 	"fireflyshift/internal/fault"
 )
 
-// NotRunLine is the header line that says that a request has not run, for answers that are not this package's.
-const NotRunLine = headerWork + ": " + string(fault.NotRun)
+// NotRunHeader is the header line that says that a request has not run, for answers that are not this package's.
+const NotRunHeader = headerWork + ": " + string(fault.NotRun)
 
 // Drain makes every answer from now on the last one of its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
@@ -16,8 +16,8 @@
 // Shutdown refuses the requests whose bodies are still read.
 func (s *Server) Shutdown() { s.end() }
 
-// TurnAway refuses a request that comes as the host ends: it has not run.
-func (s *Server) TurnAway(w http.ResponseWriter, _ *http.Request) {
+// RejectShutdown refuses a request that comes as the host ends: it has not run.
+func (s *Server) RejectShutdown(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Connection", "close")
 	w.Header().Set(headerRequest, newID())
 	s.refuse(w, s.drainingFault())
--- a/internal/edge/flight.go
+++ b/internal/edge/flight.go
@@ -92,11 +92,11 @@
 func (s *Server) permission(d core.Dispatch) wire.Permission {
 	var asked time.Duration
 	return wire.Permission{
-		Ask: func() bool {
+		Check: func() bool {
 			asked = s.control.Now()
 			return asked <= d.ValidUntil
 		},
-		Told: func(permitted bool) {
+		OnResult: func(permitted bool) {
 			s.log.Info().Str("id", d.ID).Uint32("attempt", d.Attempt).Str("backend", d.Backend.Name).Str("scheduler", d.Scheduler).
 				Int64("granted_ago_ms", (asked-d.At).Milliseconds()).Int64("lease_left_ms", (d.ValidUntil-asked).Milliseconds()).
 				Int64("write_us", (s.control.Now()-asked).Microseconds()).Bool("written", permitted).Msg("Dispatch.")
--- a/internal/edge/pass.go
+++ b/internal/edge/pass.go
@@ -64,7 +64,7 @@
 		if ctx.Err() != nil {
 			return core.Ended{Outcome: core.Canceled}
 		}
-		return core.Ended{Outcome: core.Failed, BackendEnded: upstream.Refuses(ctx, d.Backend.Addr),
+		return core.Ended{Outcome: core.Failed, BackendEnded: upstream.ProbeRefused(ctx, d.Backend.Addr),
 			Fault: fault.New(fault.AnswerCut, "backend server %s: %v", d.Backend.Name, err)}
 	}
 	took := time.Since(started)
@@ -100,7 +100,7 @@
 	case ctx.Err() != nil:
 		return core.Ended{Outcome: core.Canceled}
 	default:
-		return core.Ended{Outcome: core.Failed, BackendEnded: upstream.Refuses(ctx, d.Backend.Addr), Fault: fault.New(fault.OutcomeUnknown, "backend server %s: %v", d.Backend.Name, err)}
+		return core.Ended{Outcome: core.Failed, BackendEnded: upstream.ProbeRefused(ctx, d.Backend.Addr), Fault: fault.New(fault.OutcomeUnknown, "backend server %s: %v", d.Backend.Name, err)}
 	}
 }
 
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -24,8 +24,8 @@
 	return out
 }
 
-// Short keeps 32 bits of each hash: enough to believe by, at half the bytes between hosts.
-func Short(hashes []uint64) []uint32 {
+// ShortHashes keeps 32 bits of each hash: enough to believe by, at half the bytes between hosts.
+func ShortHashes(hashes []uint64) []uint32 {
 	out := make([]uint32, len(hashes))
 	for i, h := range hashes {
 		out[i] = uint32(h)
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -134,8 +134,8 @@
 	return &Error{Spec: spec, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After returns a copy with another time to come back.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy with another time to come back.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
--- a/internal/gateway/carry.go
+++ b/internal/gateway/carry.go
@@ -16,8 +16,8 @@
 func (f *flight) carry(from routing.Backend, resp *upstream.Response, sentAt time.Time) router.DispatchEnded {
 	info := f.g.wire.Classify(resp.Status, resp.Header)
 	success := isSuccess(resp.Status)
-	if resp.Status != http.StatusMisdirectedRequest && (info.Leaving || info.StayAway > 0) {
-		f.g.control.Post(router.BackendAnnouncement{ID: from.ID, Start: from.Start, Leaving: info.Leaving, HoldOff: info.StayAway})
+	if resp.Status != http.StatusMisdirectedRequest && (info.Leaving || info.HoldOff > 0) {
+		f.g.control.Post(router.BackendAnnouncement{ID: from.ID, Start: from.Start, Leaving: info.Leaving, HoldOff: info.HoldOff})
 	}
 	switch {
 	case info.NotRun && resp.Status == http.StatusMisdirectedRequest:
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -26,7 +26,7 @@
 	g         *Gateway
 	w         http.ResponseWriter
 	r         *http.Request
-	call      Call
+	call      RequestInfo
 	route     *routing.Route
 	workspace *routing.Workspace
 	rank      float64
@@ -105,7 +105,7 @@
 	}
 	rc := http.NewResponseController(f.w)
 	_ = rc.SetReadDeadline(f.deadline)
-	stop := ingress.CutReads(f.g.ending, rc)
+	stop := ingress.AbortReads(f.g.ending, rc)
 	body, err := io.ReadAll(io.LimitReader(f.r.Body, bodyBuffer))
 	stop()
 	var tooLarge *http.MaxBytesError
@@ -316,7 +316,7 @@
 func (f *flight) request(d router.Dispatch) *upstream.Request {
 	h := f.r.Header.Clone()
 	dropHop(h)
-	s := Send{Backend: d.Backend.ID, Left: time.Until(f.deadline)}
+	s := DispatchInfo{Backend: d.Backend.ID, Left: time.Until(f.deadline)}
 	if f.workspace != nil {
 		s.Workspace = f.workspace.Name
 	}
@@ -327,7 +327,7 @@
 	req := &upstream.Request{
 		Method: f.r.Method, Target: f.r.RequestURI, Host: f.r.Host, Header: h,
 		Body: f.body, Length: int64(len(f.body)), Deadline: f.deadline,
-		Own: func(h http.Header) bool {
+		IsOwn: func(h http.Header) bool {
 			id := f.g.wire.Classify(0, h).AttemptID
 			return id == "" || id == f.call.AttemptID
 		},
@@ -335,10 +335,10 @@
 	if f.rest != nil {
 		req.Rest, req.Length = f.rest, f.r.ContentLength
 	}
-	req.Keep = d.MaxIdleConns
+	req.MaxIdle = d.MaxIdleConns
 	req.Permitted = func() bool { return f.permitted(d) }
-	req.Stall, _ = f.stall()
-	req.Stalled = f.stalled
+	req.StallTimeout, _ = f.stall()
+	req.OnStall = f.stalled
 	return req
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -56,7 +56,7 @@
 // Gateway serves callers.
 type Gateway struct {
 	control Control
-	wire    Wire
+	wire    HeaderCodec
 	pool    *upstream.Pool
 	log     zerolog.Logger
 	metrics telemetry.Metrics
@@ -68,7 +68,7 @@
 }
 
 // New returns a gateway.
-func New(c Control, w Wire, p *upstream.Pool, log zerolog.Logger, m telemetry.Metrics) *Gateway {
+func New(c Control, w HeaderCodec, p *upstream.Pool, log zerolog.Logger, m telemetry.Metrics) *Gateway {
 	ending, end := context.WithCancel(context.Background())
 	return &Gateway{control: c, wire: w, pool: p, log: log, metrics: m, trails: newTrails(), ending: ending, end: end}
 }
@@ -111,8 +111,8 @@
 	return &flight{g: g, w: w, r: r, call: g.wire.Read(r.Header), began: time.Now(), beganAt: g.control.Now()}
 }
 
-// TurnAway answers a request that comes as the host ends: it has not run.
-func (g *Gateway) TurnAway(w http.ResponseWriter, r *http.Request) {
+// RejectShutdown answers a request that comes as the host ends: it has not run.
+func (g *Gateway) RejectShutdown(w http.ResponseWriter, r *http.Request) {
 	f := g.flightOf(w, r)
 	f.refuse(http.StatusServiceUnavailable, string(router.ShutDown), router.DrainBack)
 }
--- a/internal/gateway/trail.go
+++ b/internal/gateway/trail.go
@@ -33,8 +33,8 @@
 	t.byID[id] = append(t.byID[id], core.TraceEvent{At: at, What: fmt.Sprintf(format, args...)})
 }
 
-// Trail tells the steps of a request that this host lately held.
-func (g *Gateway) Trail(id string) []core.TraceEvent {
+// History tells the steps of a request that this host lately held.
+func (g *Gateway) History(id string) []core.TraceEvent {
 	g.trails.mu.Lock()
 	defer g.trails.mu.Unlock()
 	return append([]core.TraceEvent(nil), g.trails.byID[id]...)
--- a/internal/gateway/wire.go
+++ b/internal/gateway/wire.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Call is what a caller's headers say.
-type Call struct {
+// RequestInfo is what a caller's headers say.
+type RequestInfo struct {
 	// AttemptID is the caller's own id of this try; each try has another.
 	AttemptID string
 	Key       string
@@ -23,8 +23,8 @@
 	LengthHint   int // the caller's estimate of the output tokens; zero where unknown
 }
 
-// Send is what one dispatch adds to a caller's request.
-type Send struct {
+// DispatchInfo is what one dispatch adds to a caller's request.
+type DispatchInfo struct {
 	Backend   string // the only backend server that may run it
 	Workspace string
 	Left      time.Duration
@@ -40,15 +40,15 @@
 	NotRun bool
 	// Leaving tells that the backend server says that it is about to leave.
 	Leaving bool
-	// StayAway is how long a backend server that turned the request away wants nothing more from this host; zero where it
+	// HoldOff is how long a backend server that turned the request away wants nothing more from this host; zero where it
 	// does not say.
-	StayAway time.Duration
+	HoldOff time.Duration
 }
 
-// Wire translates headers.
-type Wire interface {
-	Read(h http.Header) Call
-	Prepare(h http.Header, s Send)
+// HeaderCodec translates headers.
+type HeaderCodec interface {
+	Read(h http.Header) RequestInfo
+	Prepare(h http.Header, s DispatchInfo)
 	Classify(status int, h http.Header) AnswerInfo
 	RetryAfter(d time.Duration) string
 }
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// CutReads ends the reading of a request's body when ctx is done. After stop it sets no deadline any more; one that it has set
+// AbortReads ends the reading of a request's body when ctx is done. After stop it sets no deadline any more; one that it has set
 // is the caller's to clear.
-func CutReads(ctx context.Context, rc *http.ResponseController) (stop func()) {
+func AbortReads(ctx context.Context, rc *http.ResponseController) (stop func()) {
 	cut := make(chan struct{})
 	release := context.AfterFunc(ctx, func() {
 		defer close(cut)
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -204,8 +204,8 @@
 	return c.notified
 }
 
-// End makes the host take no request any more, unless one is in hand or is likely to come on a new connection.
-func (c *Connections) End() bool { return c.end(time.Now()) }
+// TryStop makes the host take no request any more, unless one is in hand or is likely to come on a new connection.
+func (c *Connections) TryStop() bool { return c.end(time.Now()) }
 
 func (c *Connections) end(now time.Time) bool {
 	c.mu.Lock()
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -42,11 +42,11 @@
 	one := c.add(inner)
 	c.connState(one, http.StateNew)
 	c.connState(one, http.StateActive)
-	require.False(t, c.End())
+	require.False(t, c.TryStop())
 	require.Equal(t, http.StatusOK, ask())
 	c.connState(one, http.StateIdle)
 	require.Zero(t, c.InUse())
-	require.True(t, c.End())
+	require.True(t, c.TryStop())
 	require.Equal(t, http.StatusServiceUnavailable, ask())
 	require.Equal(t, 1, served)
 }
@@ -64,12 +64,12 @@
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
 	require.Equal(t, 1, c.InUse())
-	require.False(t, c.End())
+	require.False(t, c.TryStop())
 	c.connState(k, http.StateActive)
 	require.Equal(t, 1, c.InUse())
 	c.connState(k, http.StateClosed)
 	require.Zero(t, c.InUse())
-	require.True(t, c.End())
+	require.True(t, c.TryStop())
 }
 
 // Guards against a host that ends in the moments between a new connection and the request that it was made for.
@@ -282,7 +282,7 @@
 	_, err := io.WriteString(half, text[:10])
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return h.c.InUse() == 1 }, patience, time.Millisecond)
-	require.False(t, h.c.End())
+	require.False(t, h.c.TryStop())
 	require.Zero(t, h.c.Close(within(t, patience)))
 	require.Equal(t, http.StatusRequestTimeout, half.status(t))
 	require.Zero(t, h.served)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 // Parts are what the adapter brings.
 type Parts struct {
 	Store Store
-	Wire  gateway.Wire
+	Wire  gateway.HeaderCodec
 	// Load reads the settings again; Reload is a signal to do it now. Both may be nil.
 	Load   func() (*Settings, error)
 	Reload <-chan struct{}
@@ -136,10 +136,10 @@
 		read: reading.set,
 		send: n.send,
 		pull: func(p router.Pull) { go n.pull(ctx, puller, p) },
-		drop: n.pool.Drop,
+		drop: n.pool.CloseIdle,
 		check: func(c router.Probe) {
 			go func() {
-				reached, refused := n.pool.Check(ctx, c.Backend.Addr, c.MaxIdleConns)
+				reached, refused := n.pool.Probe(ctx, c.Backend.Addr, c.MaxIdleConns)
 				n.control.Post(router.ProbeResult{ID: c.Backend.ID, Start: c.Backend.Start, Reached: reached, Refused: refused})
 			}()
 		},
@@ -147,14 +147,14 @@
 	n.gateway = gateway.New(n.control, parts.Wire, n.pool, telemetry.For(n.root, "gateway"), n.metrics)
 	n.callers = &http.Server{Handler: n.gateway, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerBytes,
 		ErrorLog: stdlog.New(errorLines{n.log}, "", 0)}
-	n.connections.Guard(n.callers, http.HandlerFunc(n.gateway.TurnAway))
+	n.connections.Guard(n.callers, http.HandlerFunc(n.gateway.RejectShutdown))
 	if err := n.listen(g, n.callers, n.set.Callers, n.connections.Listener); err != nil {
 		return err
 	}
 	if err := n.serve(g, http.HandlerFunc(n.readyz), n.set.Ready); err != nil {
 		return err
 	}
-	ops := admin.Handler(operators{n, n.gateway.Trail}, n.metrics)
+	ops := admin.Handler(operators{n, n.gateway.History}, n.metrics)
 	for _, addr := range []string{n.set.Admin, n.set.Metrics} {
 		if addr == "" {
 			continue
@@ -319,7 +319,7 @@
 		if n.connections.InUse() > 0 {
 			quietSince = time.Now()
 		}
-		if time.Since(began) > n.set.Notice && time.Since(quietSince) > quietFor && n.connections.End() {
+		if time.Since(began) > n.set.Notice && time.Since(quietSince) > quietFor && n.connections.TryStop() {
 			n.log.Info().Dur("after_ms", time.Since(began)).Msg("No request is in hand. No more are taken.")
 			return
 		}
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -25,16 +25,16 @@
 	Length int64
 	// Permitted, if set, is asked right before the first byte is written, after a connection was found or made.
 	Permitted func() bool
-	// Own tells whether an answer belongs to this call, by its headers.
-	Own func(h http.Header) bool
+	// IsOwn tells whether an answer belongs to this call, by its headers.
+	IsOwn func(h http.Header) bool
 	// Deadline ends the call.
 	Deadline time.Time
-	// Keep is how many idle connections to the server may be held after the call.
-	Keep int
-	// Stall, if not zero, is how long the server may be silent until Stalled is asked whether to
+	// MaxIdle is how many idle connections to the server may be held after the call.
+	MaxIdle int
+	// StallTimeout, if not zero, is how long the server may be silent until Stalled is asked whether to
 	// give the call up; the call then ends with ErrStalled.
-	Stall   time.Duration
-	Stalled func() bool
+	StallTimeout   time.Duration
+	OnStall func() bool
 }
 
 // Response is an answer whose body is still to be read. Close must be called.
@@ -86,13 +86,13 @@
 	// A process that was paused after its decision, or waited long for a connection, would send on beliefs that
 	// others have given up since: it shows as a request at a backend server that was told to leave before.
 	if req.Permitted != nil && !req.Permitted() {
-		p.giveBack(addr, c, req.Keep)
+		p.giveBack(addr, c, req.MaxIdle)
 		return nil, false, ErrNotPermitted
 	}
-	x := &call{pool: p, addr: addr, conn: c, keep: req.Keep}
+	x := &call{pool: p, addr: addr, conn: c, keep: req.MaxIdle}
 	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	_ = c.SetDeadline(req.Deadline)
-	c.deadline, c.stall, c.stalled = req.Deadline, req.Stall, req.Stalled
+	c.deadline, c.stall, c.stalled = req.Deadline, req.StallTimeout, req.OnStall
 	if err := x.write(req); err != nil {
 		x.end()
 		return nil, true, err
@@ -157,7 +157,7 @@
 			}
 			continue
 		}
-		if !req.Own(resp.Header) {
+		if !req.IsOwn(resp.Header) {
 			stray++
 			x.stray = true
 			if stray > maxStray || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
--- a/internal/upstream/call_test.go
+++ b/internal/upstream/call_test.go
@@ -23,7 +23,7 @@
 	addr := srv.Listener.Addr().String()
 	call := func(permitted bool) (sent bool, err error) {
 		resp, sent, err := pool.Do(context.Background(), addr, &Request{Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{},
-			Deadline: time.Now().Add(time.Minute), Keep: 1, Own: func(http.Header) bool { return true },
+			Deadline: time.Now().Add(time.Minute), MaxIdle: 1, IsOwn: func(http.Header) bool { return true },
 			Permitted: func() bool { return permitted }})
 		if err == nil {
 			resp.Close()
@@ -50,17 +50,17 @@
 	dialed := 0
 	pool := NewPool(func() { dialed++ })
 	addr := srv.Listener.Addr().String()
-	reached, refused := pool.Check(context.Background(), addr, 1)
+	reached, refused := pool.Probe(context.Background(), addr, 1)
 	require.True(t, reached)
 	require.False(t, refused)
-	require.False(t, Refuses(context.Background(), addr))
+	require.False(t, ProbeRefused(context.Background(), addr))
 	c, err := pool.get(context.Background(), addr)
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
 	require.Equal(t, 1, dialed)
 	srv.Close()
-	reached, refused = pool.Check(context.Background(), addr, 1)
+	reached, refused = pool.Probe(context.Background(), addr, 1)
 	require.False(t, reached)
 	require.True(t, refused)
-	require.True(t, Refuses(context.Background(), addr))
+	require.True(t, ProbeRefused(context.Background(), addr))
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -62,8 +62,8 @@
 // IsRefused tells that a connection was refused: nothing listens at the address.
 func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// Refuses tells whether nothing listens at an address any more, by a connection that is closed at once.
-func Refuses(ctx context.Context, addr string) bool {
+// ProbeRefused tells whether nothing listens at an address any more, by a connection that is closed at once.
+func ProbeRefused(ctx context.Context, addr string) bool {
 	c, err := dial(ctx, Dialer(dialTimeout), addr)
 	if err != nil {
 		return IsRefused(err)
@@ -72,9 +72,9 @@
 	return false
 }
 
-// Check tells whether an address can be reached, or refuses the connection; neither where there is no answer. A connection that
+// Probe tells whether an address can be reached, or refuses the connection; neither where there is no answer. A connection that
 // is made is kept for the next call, unless most are kept already.
-func (p *Pool) Check(ctx context.Context, addr string, most int) (reached, refused bool) {
+func (p *Pool) Probe(ctx context.Context, addr string, most int) (reached, refused bool) {
 	p.dialed()
 	c, err := dial(ctx, p.dialer, addr)
 	if err != nil {
@@ -101,8 +101,8 @@
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// Drop closes the idle connections to an address that is not used any more.
-func (p *Pool) Drop(addr string) {
+// CloseIdle closes the idle connections to an address that is not used any more.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
 	delete(p.idle, addr)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -54,10 +54,10 @@
 // as ended. What is left is a pause in the few instructions between the question and the system call, so that nothing
 // else belongs there.
 type Permission struct {
-	// Ask tells whether the call may still be made. It must not wait.
-	Ask func() bool
-	// Told, if set, is called once, after the first write or after Ask has said no to it, with what Ask said.
-	Told func(permitted bool)
+	// Check tells whether the call may still be made. It must not wait.
+	Check func() bool
+	// OnResult, if set, is called once, after the first write or after Ask has said no to it, with what Ask said.
+	OnResult func(permitted bool)
 }
 
 // WithPermission makes a call ask; the zero Permission takes an earlier one off.
@@ -78,10 +78,10 @@
 func (c *countingConn) Write(p []byte) (written int, err error) {
 	for permission := c.permission.Load(); permission != nil && err == nil && written < len(p); {
 		var n int
-		n, err = c.writePermitted(p[written:], permission.Ask)
+		n, err = c.writePermitted(p[written:], permission.Check)
 		written += n
-		if permission.Told != nil && !c.told {
-			permission.Told(!errors.Is(err, ErrNotPermitted))
+		if permission.OnResult != nil && !c.told {
+			permission.OnResult(!errors.Is(err, ErrNotPermitted))
 		}
 		c.told = true
 	}
@@ -166,7 +166,7 @@
 
 func permissionOf(req *http.Request) *Permission {
 	p, ok := req.Context().Value(permissionKey{}).(Permission)
-	if !ok || p.Ask == nil {
+	if !ok || p.Check == nil {
 		return nil
 	}
 	return &p
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -22,7 +22,7 @@
 	defer srv.Close()
 	client := &http.Client{Transport: NewTransport()}
 	call := func(permitted func() bool) (sent bool, err error) {
-		ctx := WithPermission(t.Context(), Permission{Ask: permitted})
+		ctx := WithPermission(t.Context(), Permission{Check: permitted})
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, srv.URL, strings.NewReader("x"))
 		require.NoError(t, err)
 		resp, sent, err := Do(client, req)
@@ -61,7 +61,7 @@
 	defer srv.Close()
 	body := strings.Repeat("x", 8<<10)
 	arrived := false
-	ctx := WithPermission(t.Context(), Permission{Ask: func() bool { return true }, Told: func(bool) {
+	ctx := WithPermission(t.Context(), Permission{Check: func() bool { return true }, OnResult: func(bool) {
 		// The writer stands still here, as in a pause.
 		select {
 		case got := <-whole:
@@ -88,7 +88,7 @@
 	}))
 	defer srv.Close()
 	asked := 0
-	ctx := WithPermission(t.Context(), Permission{Ask: func() bool { asked++; return asked == 1 }})
+	ctx := WithPermission(t.Context(), Permission{Check: func() bool { asked++; return asked == 1 }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, srv.URL, strings.NewReader(strings.Repeat("x", 1<<20)))
 	require.NoError(t, err)
 	_, sent, err := Do(&http.Client{Transport: NewTransport()}, req)
