--- a/internal/gateway/permission_test.go
+++ b/internal/gateway/permission_test.go
@@ -32,7 +32,7 @@
 // silentWire adds nothing to calls.
 type silentWire struct{ headerless }
 
-func (silentWire) Prepare(http.Header, DispatchInfo)            {}
+func (silentWire) Prepare(http.Header, DispatchInfo)    {}
 func (silentWire) Classify(int, http.Header) AnswerInfo { return AnswerInfo{Signed: true} }
 
 // The reducer decides for a backend server; the host looks at its clock, and the process is paused for a second
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -38,7 +38,7 @@
 // headerless is a wire whose calls say nothing.
 type headerless struct{ HeaderCodec }
 
-func (headerless) Read(http.Header) RequestInfo             { return RequestInfo{} }
+func (headerless) Read(http.Header) RequestInfo      { return RequestInfo{} }
 func (headerless) RetryAfter(d time.Duration) string { return d.String() }
 
 // A host starts and a caller's request is already there. A moment later the host has its configuration: the
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -33,8 +33,8 @@
 	MaxIdle int
 	// StallTimeout, if not zero, is how long the server may be silent until Stalled is asked whether to
 	// give the call up; the call then ends with ErrStalled.
-	StallTimeout   time.Duration
-	OnStall func() bool
+	StallTimeout time.Duration
+	OnStall      func() bool
 }
 
 // Response is an answer whose body is still to be read. Close must be called.
