--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -72,7 +72,7 @@
 		}
 	})
 	if r.sharing() {
-		r.sendGuestBeat(r.guestAt())
+		r.sendCrossZoneHeartbeat(r.remoteOwnersWithLoad())
 	}
 }
 
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -41,7 +41,7 @@
 	if r.table == nil {
 		return 0, false
 	}
-	if s := r.serviceOf(b); s != nil {
+	if s := r.serviceConfig(b); s != nil {
 		return s.ColdRate, true
 	}
 	return 0, true
@@ -49,7 +49,7 @@
 
 // presumeCold takes a backend server for cold that may be, though nothing says so yet.
 func (r *Router) presumeCold(b *backend) {
-	if s := r.serviceOf(b); s != nil && b.warming.until < r.now+s.ColdFor {
+	if s := r.serviceConfig(b); s != nil && b.warming.until < r.now+s.ColdFor {
 		r.setCold(b, s.ColdFor, "presumed")
 	}
 }
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -43,7 +43,7 @@
 		b.submit(urgent, 0, 10)
 		b.prompt(1 << 30)
 		for _, e := range b.r.allBackends() {
-			s := b.r.searchFor(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, anywhere)
+			s := b.r.newSelector(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, scopeAll)
 			require.Positive(t, s.waitAt(e, e.inFlight()), "an overflow would make it look idle")
 		}
 		b.now += time.Minute
@@ -92,7 +92,7 @@
 		for _, e := range b.r.allBackends() {
 			require.GreaterOrEqual(t, e.inFlight(), 0)
 			require.GreaterOrEqual(t, e.unread(b.now), 0)
-			s := b.r.searchFor(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, anywhere)
+			s := b.r.newSelector(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, scopeAll)
 			require.Positive(t, s.waitAt(e, e.inFlight()), "an overflow would make it look idle")
 		}
 		b.now += time.Minute
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -9,35 +9,35 @@
 	"fireflyshift/internal/routing"
 )
 
-// asked answers a question for a place at one of this host's backend servers. The place counts as taken at
+// handleSlotRequest answers a question for a place at one of this host's backend servers. The place counts as taken at
 // once, under the name of the asker, until the asker reports otherwise or its next beat, which tells all that
 // it carries, says so: a lost datagram is made up for within a beat.
-func (r *Router) asked(from string, a *gossippb.Ask) {
+func (r *Router) handleSlotRequest(from string, a *gossippb.Ask) {
 	m, ok := r.members.byHost[from]
 	if !ok {
 		return // not heard yet; it decides alone
 	}
-	q := r.requestOf(a)
-	c := r.placeIn(q, owned)
-	if c.b == nil || c.class > class(a.WorstClass) {
-		r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: &gossippb.Offer{Number: a.Number, Full: r.occupancyOf(a.Service)}}})
+	q := r.requestFromAsk(a)
+	c := r.selectInScope(q, scopeOwned)
+	if c.backend == nil || c.class > class(a.WorstClass) {
+		r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: &gossippb.Offer{Number: a.Number, Full: r.ownedLoads(a.Service)}}})
 		return
 	}
-	o := &gossippb.Offer{Number: a.Number, Place: c.b.carried().toProto(c.b.hash), Limit: uint32(max(0, c.grounds.Limit)),
+	o := &gossippb.Offer{Number: a.Number, Place: c.backend.carried().toProto(c.backend.hash), Limit: uint32(max(0, c.grounds.Limit)),
 		WaitUs: uint32(max(0, c.grounds.Wait).Microseconds())}
-	r.carry(m, c.b.hash, q.bucket(), 1, q.PromptTok)
+	r.adjustLoad(m, c.backend.hash, q.bucket(), 1, q.PromptTok)
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: o}})
 }
 
-// requestOf is the request that another host asks for, as far as a choice needs it.
-func (r *Router) requestOf(a *gossippb.Ask) *request {
+// requestFromAsk is the request that another host asks for, as far as a choice needs it.
+func (r *Router) requestFromAsk(a *gossippb.Ask) *request {
 	kind := routing.Idempotent
 	if a.Streaming {
 		kind = routing.Streaming
 	}
 	q := &request{service: a.Service, Submit: Submit{
 		Route: &routing.Route{Kind: kind, Target: time.Duration(a.TargetMs) * time.Millisecond},
-		Rank:  rankOf(a), PromptTok: int(min(a.Prompt, maxPrefillBacklog)), OutputTok: int(a.Output),
+		Rank:  askRank(a), PromptTok: int(min(a.Prompt, maxPrefillBacklog)), OutputTok: int(a.Output),
 		Deadline: r.now + time.Duration(a.LeftMs)*time.Millisecond,
 	}}
 	for _, hash := range a.Avoid {
@@ -48,8 +48,8 @@
 	return q
 }
 
-// rankOf is the rank that a question names; one that is no number counts as the least urgent.
-func rankOf(a *gossippb.Ask) float64 {
+// askRank is the rank that a question names; one that is no number counts as the least urgent.
+func askRank(a *gossippb.Ask) float64 {
 	rank := float64(a.Rank)
 	if math.IsNaN(rank) {
 		return routing.LeastUrgent
@@ -57,7 +57,7 @@
 	return min(max(0, rank), routing.LeastUrgent)
 }
 
-func (r *Router) occupancyOf(service string) []*gossippb.Load {
+func (r *Router) ownedLoads(service string) []*gossippb.Load {
 	var out []*gossippb.Load
 	for _, b := range r.zoneBackendsOf(service) {
 		if r.owns(b) {
@@ -67,8 +67,8 @@
 	return out
 }
 
-// carry changes what another host is believed to carry at a backend server.
-func (r *Router) carry(m *member, hash uint32, priority, requests, unread int) {
+// adjustLoad changes what another host is believed to adjustLoad at a backend server.
+func (r *Router) adjustLoad(m *member, hash uint32, priority, requests, unread int) {
 	if m.loads == nil {
 		m.loads = loads{}
 	}
@@ -90,19 +90,19 @@
 	b.toldAt = r.now
 }
 
-// reported takes another host's word of one request at a backend server of this host's. An owner hears of
+// handleReport takes another host's word of one request at a backend server of this host's. An owner hears of
 // all requests there and knows its speed and faults first.
-func (r *Router) reported(from string, rep *gossippb.Report) {
+func (r *Router) handleReport(from string, rep *gossippb.Report) {
 	m, known := r.members.byHost[from]
 	if known && (rep.Requests != 0 || rep.Unread != 0) {
 		change := int(min(max(rep.Requests, -1), 1))
-		r.carry(m, rep.Backend, int(min(rep.Priority, priorities-1)), change, int(rep.Unread))
+		r.adjustLoad(m, rep.Backend, int(min(rep.Priority, priorities-1)), change, int(rep.Unread))
 	}
 	b, ok := r.byHash[rep.Backend]
 	if !ok {
 		return
 	}
-	r.learnFrom(b, rep)
+	r.learnFromReport(b, rep)
 	switch rep.Outcome {
 	case gossippb.Outcome_OUTCOME_SOUND:
 		b.succeeded(r.now - time.Duration(rep.AgeMs)*time.Millisecond)
@@ -118,9 +118,9 @@
 	}
 }
 
-func (r *Router) learnFrom(b *backend, rep *gossippb.Report) {
+func (r *Router) learnFromReport(b *backend, rep *gossippb.Report) {
 	svc := r.serviceNamed(b.Service)
-	if pace := min(time.Duration(rep.IntervalUs)*time.Microsecond, mostPace); pace > 0 {
+	if pace := min(time.Duration(rep.IntervalUs)*time.Microsecond, maxEventInterval); pace > 0 {
 		b.learnPace(pace)
 		svc.learnPace(pace)
 	}
@@ -128,17 +128,17 @@
 		b.learnRead(read)
 		svc.learnRead(read)
 	}
-	svc.learnEvents(int(min(rep.Events, mostEvents)))
+	svc.learnEvents(int(min(rep.Events, maxEvents)))
 }
 
 const (
-	// mostPace and mostEvents bound what one word of another host can teach.
-	mostPace   = 10 * time.Second
-	mostEvents = 1 << 16
+	// maxEventInterval and mostEvents bound what one word of another host can teach.
+	maxEventInterval = 10 * time.Second
+	maxEvents        = 1 << 16
 )
 
-// reportTo is the host that counts this host's requests at a backend server; empty where none does.
-func (r *Router) reportTo(q *request) string {
+// reportTarget is the host that counts this host's requests at a backend server; empty where none does.
+func (r *Router) reportTarget(q *request) string {
 	to := q.owner
 	if to == "" {
 		to = r.ownerOf(q.backend)
@@ -149,35 +149,35 @@
 	return to
 }
 
-// reportOf is a report of a request by its backend server: requests and prompt tokens that came there, or
+// newReport is a report of a request by its backend server: requests and prompt tokens that came there, or
 // with a minus ended.
-func (q *request) reportOf(requests, unread int) *gossippb.Report {
+func (q *request) newReport(requests, unread int) *gossippb.Report {
 	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.bucket()), Requests: int32(requests), Unread: int32(unread)}
 }
 
-// reportTaken tells the owner of a request that was placed without asking it.
-func (r *Router) reportTaken(q *request) {
-	if to := r.reportTo(q); to != "" && q.owner == "" {
-		r.report(to, q.reportOf(1, q.unread))
+// reportAssigned tells the owner of a request that was placed without asking it.
+func (r *Router) reportAssigned(q *request) {
+	if to := r.reportTarget(q); to != "" && q.owner == "" {
+		r.sendReport(to, q.newReport(1, q.unread))
 	}
 }
 
-// reportEnd tells the owner that a request ended, and what it showed of the backend server.
-func (r *Router) reportEnd(q *request, e DispatchEnded) {
-	to := r.reportTo(q)
+// reportEnded tells the owner that a request ended, and what it showed of the backend server.
+func (r *Router) reportEnded(q *request, e DispatchEnded) {
+	to := r.reportTarget(q)
 	if to == "" {
 		return
 	}
-	rep := q.reportOf(-1, -q.unread)
-	rep.Outcome, rep.AgeMs = outcomeOf(e), uint32((r.now - q.sentAt).Milliseconds())
+	rep := q.newReport(-1, -q.unread)
+	rep.Outcome, rep.AgeMs = reportOutcome(e), uint32((r.now - q.sentAt).Milliseconds())
 	if e.Outcome == Answered {
 		rep.IntervalUs, rep.Events = uint32(paceOf(q, e).Microseconds()), uint32(e.Events)
 	}
-	r.report(to, rep)
+	r.sendReport(to, rep)
 }
 
-// outcomeOf is what the end of a dispatch says of its backend server.
-func outcomeOf(e DispatchEnded) gossippb.Outcome {
+// reportOutcome is what the end of a dispatch says of its backend server.
+func reportOutcome(e DispatchEnded) gossippb.Outcome {
 	switch {
 	case e.Outcome == Answered:
 		return gossippb.Outcome_OUTCOME_SOUND
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -34,22 +34,22 @@
 	speedsEvery = 16
 )
 
-// trust is how an owner has answered this host.
-type trust struct {
-	// misses are questions in a row without an answer; until muteUntil it is not asked because of them.
-	misses    int
-	muteUntil time.Duration
+// ownerStatus is how an owner has answered this host.
+type ownerStatus struct {
+	// missedReplies are questions in a row without an answer; until muteUntil it is not asked because of them.
+	missedReplies int
+	backoffUntil  time.Duration
 	// fullAt is when it last had no place, by priority.
 	fullAt [priorities]time.Duration
 }
 
-// trustOf is how an owner has answered so far.
-func (r *Router) trustOf(owner string) *trust {
+// statusOf is how an owner has answered so far.
+func (r *Router) statusOf(owner string) *ownerStatus {
 	t, ok := r.owners.trust[owner]
 	if !ok {
-		t = &trust{}
+		t = &ownerStatus{}
 		for p := range t.fullAt {
-			t.fullAt[p] = -fullFresh
+			t.fullAt[p] = -fullTTL
 		}
 		r.owners.trust[owner] = t
 	}
@@ -77,13 +77,13 @@
 	told   int
 	// expireAt is when words of owners that have fallen silent are next looked for.
 	expireAt time.Duration
-	trust    map[string]*trust
+	trust    map[string]*ownerStatus
 	// knownUntil is until when owners of other zones know this host by its last beat.
 	knownUntil map[string]time.Duration
 }
 
 func newOwnerState() ownerState {
-	return ownerState{trust: map[string]*trust{}, knownUntil: map[string]time.Duration{}}
+	return ownerState{trust: map[string]*ownerStatus{}, knownUntil: map[string]time.Duration{}}
 }
 
 // sharing tells whether backend servers have owners that are asked for places. In a small fleet every host
@@ -120,7 +120,7 @@
 		return false
 	}
 	owner := r.ownerOf(b)
-	return owner != "" && !r.answers(owner)
+	return owner != "" && !r.canAsk(owner)
 }
 
 func (r *Router) owns(b *backend) bool {
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -87,7 +87,7 @@
 		}
 		hints++
 	}
-	require.Equal(t, 2*(5+headroom-2*perRank), hints)
+	require.Equal(t, 2*(5+headroom-2*headroomPerRank), hints)
 	reviews := 0
 	for {
 		if _, refused := b.submit(urgent, 0, 100); refused != nil {
@@ -95,7 +95,7 @@
 		}
 		reviews++
 	}
-	require.Equal(t, 2*2*perRank, reviews)
+	require.Equal(t, 2*2*headroomPerRank, reviews)
 }
 
 // Engines of a service differ fourfold in speed. Work goes where it shares the engine for the
@@ -329,13 +329,13 @@
 	e0.learnPace(20 * time.Millisecond)
 	limit := func(slots int, rank float64) int {
 		e0.Slots = slots
-		s := b.r.searchFor(&request{Submit: Submit{Route: urgent, Rank: rank}, service: "m"}, anywhere)
-		return s.limitFor(e0)
+		s := b.r.newSelector(&request{Submit: Submit{Route: urgent, Rank: rank}, service: "m"}, scopeAll)
+		return s.requestLimit(e0)
 	}
 	require.Equal(t, 1+1, limit(1, 0), "30 events of 20 ms are more than half of the objective")
 	require.Equal(t, 1, limit(1, routing.LeastUrgent))
 	require.Equal(t, 11+headroom, limit(11, 0))
-	require.Equal(t, 11+headroom-perRank, limit(11, 1))
+	require.Equal(t, 11+headroom-headroomPerRank, limit(11, 1))
 	require.Equal(t, 64+headroom, limit(64, 0))
 	for i := 0; i < 100; i++ {
 		e0.learnPace(time.Second)
--- a/internal/router/predict.go
+++ b/internal/router/predict.go
@@ -7,15 +7,15 @@
 )
 
 // score orders backend servers for a request: the lower the better.
-func (s *search) score(b *backend, held int) float64 {
+func (s *selector) score(b *backend, held int) float64 {
 	wait := float64(s.waitAt(b, held))
 	switch {
 	case b.Zone == s.r.opt.Zone:
 		return wait
 	case s.r.relaying():
-		return wait * farFull
+		return wait * crossZonePenaltyLarge
 	default:
-		return wait * farPenalty
+		return wait * crossZonePenalty
 	}
 }
 
@@ -26,7 +26,7 @@
 // comes free. Engines of one service read at speeds that differ fivefold, prompts differ a hundredfold, and
 // a long prompt holds up every stream beside it. Measured against the least of (requests held + 1) x time
 // between events, this serves 0.02 to 0.05 more of the worth on days that are not overloaded throughout.
-func (s *search) waitAt(b *backend, held int) time.Duration {
+func (s *selector) waitAt(b *backend, held int) time.Duration {
 	pace := s.paceOf(b)
 	if s.q.Route.Kind != routing.Streaming || s.q.PromptTok == 0 {
 		return time.Duration(held+1) * pace
@@ -44,11 +44,11 @@
 
 // turnover is how often a place comes free at an engine where all are taken: as streams of the usual length
 // end.
-func (s *search) turnover(b *backend) time.Duration {
+func (s *selector) turnover(b *backend) time.Duration {
 	return max(1, time.Duration(s.svc.usualEvents()*float64(s.paceOf(b))/float64(max(1, b.Slots))))
 }
 
-func (s *search) paceOf(b *backend) time.Duration {
+func (s *selector) paceOf(b *backend) time.Duration {
 	if b.interval > 0 {
 		return b.interval
 	}
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -19,7 +19,7 @@
 
 // charge is a question to a quota's owner.
 type charge struct {
-	question
+	ownerCall
 	workspace string
 	cost      float64
 }
@@ -28,7 +28,7 @@
 type quotaState struct {
 	// owners are by workspace, as long as the hosts of the zone stay the same.
 	owners  map[string][]string
-	charges questions[*charge]
+	charges ownerCalls[*charge]
 }
 
 func newQuotaState() quotaState { return quotaState{owners: map[string][]string{}} }
@@ -96,7 +96,7 @@
 // quotaOwner is the one of them to ask now; empty where none answers.
 func (r *Router) quotaOwner(workspace string) string {
 	for _, owner := range r.quotaOwners(workspace) {
-		if owner == r.opt.Host || r.answers(owner) {
+		if owner == r.opt.Host || r.canAsk(owner) {
 			return owner
 		}
 	}
@@ -126,14 +126,14 @@
 
 func (r *Router) quotaGrounds(q *request, quota *limit.Quota) DecisionBasis {
 	g := r.grounds()
-	g.ViewAge = r.oldestBelief()
+	g.ViewAge = r.oldestHeartbeatAge()
 	g.Quota.Cost = q.Cost
 	g.Quota.Remaining, g.Quota.OwnShare = quota.Remaining()
 	return g
 }
 
 func (r *Router) askCharge(q *request, owner string) {
-	c := &charge{question{number: r.limits.charges.next(), request: q.ID, owner: owner, at: r.now}, q.Workspace.Name, q.Cost}
+	c := &charge{ownerCall{number: r.limits.charges.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.Workspace.Name, q.Cost}
 	q.charging = c
 	r.limits.charges.add(c)
 	r.sendCharge(owner, &gossippb.Charge{Number: c.number, Workspace: c.workspace, Cost: c.cost})
@@ -179,8 +179,8 @@
 	if !ok {
 		return
 	}
-	r.answered(from)
-	q, known := r.requests[c.request]
+	r.replyReceived(from)
+	q, known := r.requests[c.requestID]
 	if !known || q.charging != c {
 		if a.Admitted {
 			r.sendCharge(from, &gossippb.Charge{Workspace: c.workspace, Cost: c.cost, Back: true})
@@ -202,7 +202,7 @@
 	}
 	delete(r.requests, q.ID)
 	g := r.grounds()
-	g.Owner, g.ViewAge = from, r.now-c.at
+	g.Owner, g.ViewAge = from, r.now-c.sentAt
 	g.Quota = QuotaBasis{Cost: q.Cost, Remaining: a.Left, OwnShare: a.Own}
 	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Basis: g})
 }
@@ -219,8 +219,8 @@
 // expireCharges asks the other owner where a question was not answered in time, or decides alone.
 func (r *Router) expireCharges() {
 	for _, c := range r.limits.charges.overdue(r.now) {
-		r.missed(c.owner)
-		if q, ok := r.requests[c.request]; ok && q.charging == c {
+		r.replyMissed(c.owner)
+		if q, ok := r.requests[c.requestID]; ok && q.charging == c {
 			r.chargeElsewhere(q)
 		}
 	}
@@ -247,7 +247,7 @@
 	if next == 0 || next >= len(owners) {
 		return ""
 	}
-	if owner := owners[next]; owner == r.opt.Host || r.answers(owner) {
+	if owner := owners[next]; owner == r.opt.Host || r.canAsk(owner) {
 		return owner
 	}
 	return ""
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -90,7 +90,7 @@
 	r.updates.prints += b.print()
 	b.evacuated = r.evacuated(b.Zone)
 	r.setCold(b, ch.Cold, "registration")
-	if s := r.serviceOf(b); s != nil && s.Model && !b.Model {
+	if s := r.serviceConfig(b); s != nil && s.Model && !b.Model {
 		r.emit(Note{What: "backend server is no model engine", Subject: b.ID, Detail: b.Service})
 	}
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -56,10 +56,10 @@
 	prepaid bool
 	// asking is the open question for a place, full the owners that had none, and alone tells that an owner
 	// did not answer, so that this host decides. owner is who gave the place; empty where this host took it.
-	asking *ask
-	full   []string
-	alone  bool
-	owner  string
+	asking        *slotRequest
+	fullOwners    []string
+	decideLocally bool
+	owner         string
 	// onTrial tells that it runs though it is in quarantine, to show whether it does harm.
 	onTrial bool
 }
@@ -110,16 +110,16 @@
 
 // dispatch finds a place for a request and sends it there.
 func (r *Router) dispatch(q *request) {
-	q.full, q.alone, q.owner = nil, false, ""
+	q.fullOwners, q.decideLocally, q.owner = nil, false, ""
 	if back, yes := r.quarantined(q); yes {
 		r.refuseQuarantined(q, back)
 		return
 	}
 	if r.sharing() {
-		r.seek(q)
+		r.schedule(q)
 		return
 	}
-	b, g := r.place(q)
+	b, g := r.selectBackend(q)
 	if b == nil {
 		r.refuse(q, g)
 		return
@@ -141,7 +141,7 @@
 	q.unread = q.PromptTok
 	b.own.prefillBacklog += q.unread
 	r.loadChanged()
-	r.reportTaken(q)
+	r.reportAssigned(q)
 	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, MaxIdleConns: r.keep(b), At: r.now, Basis: g})
 }
 
@@ -287,7 +287,7 @@
 	}
 	if allowed && (q.prepaid || r.budgetOf(q.service).Spend(r.now, r.hosts())) {
 		q.prepaid = false
-		if b, _ := r.place(q); b != nil {
+		if b, _ := r.selectBackend(q); b != nil {
 			r.dispatch(q)
 			return
 		}
@@ -309,7 +309,7 @@
 	if move {
 		held := q.tried
 		q.tried = append(q.tried[:len(q.tried):len(q.tried)], q.backend.ID)
-		b, _ := r.place(q)
+		b, _ := r.selectBackend(q)
 		q.tried = held
 		move = b != nil && r.budgetOf(q.service).Spend(r.now, r.hosts())
 	}
@@ -328,7 +328,7 @@
 	if q.backend == nil {
 		return
 	}
-	r.reportEnd(q, e)
+	r.reportEnded(q, e)
 	p := q.bucket()
 	own := &q.backend.own
 	own.counts[p]--
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -68,14 +68,14 @@
 	byZone        map[string][]*backend
 	owners        ownerState
 	// slotRequests are the questions to owners for places.
-	slotRequests questions[*ask]
+	slotRequests ownerCalls[*slotRequest]
 	// maintenanceAt is when a large fleet's lists are next gone through.
 	maintenanceAt time.Duration
 	zones         zoneState
 	services      map[string]*service
 	requests      map[uint64]*request
 	// candidates is where decisions gather them, kept so that none allocates.
-	candidates [classes][]candidate
+	candidates [numClasses][]candidate
 	quotas     map[string]*limit.Quota
 	limits     quotaState
 	// sortedQuotas are the names of quotas, nil where the list must be made again; toldSpent is what beats
@@ -146,11 +146,11 @@
 	case HeartbeatReceived:
 		r.handleHeartbeat(e.Heartbeat)
 	case SlotRequestReceived:
-		r.asked(e.From, e.Ask)
+		r.handleSlotRequest(e.From, e.Ask)
 	case SlotOfferReceived:
-		r.offered(e.From, e.Offer)
+		r.handleOffer(e.From, e.Offer)
 	case ReportReceived:
-		r.reported(e.From, e.Report)
+		r.handleReport(e.From, e.Report)
 	case OccupancyReceived:
 		r.takeOccupancy(e.From, e.Occupancy)
 	case ChargeRequestReceived:
@@ -207,7 +207,7 @@
 const maintenanceInterval = 100 * time.Millisecond
 
 func (r *Router) tick() {
-	r.expireAsks()
+	r.expireSlotRequests()
 	r.expireCharges()
 	if r.now >= r.maintenanceAt {
 		r.runMaintenance()
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -50,10 +50,10 @@
 		q.backend.learnRead(read)
 		r.serviceNamed(q.service).learnRead(read)
 	}
-	if to := r.reportTo(q); to != "" {
-		rep := q.reportOf(0, -done)
+	if to := r.reportTarget(q); to != "" {
+		rep := q.newReport(0, -done)
 		rep.ReadNs = uint32(read.Nanoseconds())
-		r.report(to, rep)
+		r.sendReport(to, rep)
 	}
 }
 
@@ -102,7 +102,7 @@
 
 // takeSpeed takes the word of a backend server's owner, which hears of all requests there.
 func (b *backend) takeSpeed(s *gossippb.Speed) {
-	if pace := time.Duration(s.IntervalUs) * time.Microsecond; pace > 0 && pace <= mostPace {
+	if pace := time.Duration(s.IntervalUs) * time.Microsecond; pace > 0 && pace <= maxEventInterval {
 		b.interval = pace
 	}
 	if read := time.Duration(s.ReadNs); read > 0 && read <= mostRead {
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -351,7 +351,7 @@
 	}
 	z.run(time.Second, 400)
 	z.run(3*time.Second, 100)
-	require.LessOrEqual(t, z.waited, maxAsks*(askPatience+zoneTick*zoneStep))
+	require.LessOrEqual(t, z.waited, maxSlotRequests*(ownerCallTimeout+zoneTick*zoneStep))
 	require.Positive(t, z.dispatched)
 	for id, run := range z.runs {
 		require.NotEmpty(t, run.engine, "request %d waits", id)
@@ -368,9 +368,9 @@
 	question, owner := z.question(asker)
 	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 	require.NotNil(t, offers[0].Place)
-	asker.r.Reduce(z.now+askPatience, Tick{})
+	asker.r.Reduce(z.now+ownerCallTimeout, Tick{})
 	require.Positive(t, asker.r.Requests(), "placed by the asker itself")
-	out := asker.r.Reduce(z.now+2*askPatience, SlotOfferReceived{owner, offers[0]})
+	out := asker.r.Reduce(z.now+2*ownerCallTimeout, SlotOfferReceived{owner, offers[0]})
 	require.True(t, givesBack(out, offers[0].Place.Backend))
 }
 
@@ -503,7 +503,7 @@
 	z := newZone(t, 20, 23)
 	owner := z.byIP[z.owners()[0]]
 	ask := func(from string) string {
-		offers := offersOf(owner.r.Reduce(z.now, SlotRequestReceived{from, &gossippb.Ask{Number: 1, Service: "m", Streaming: true, Prompt: 100, LeftMs: 9000, TargetMs: 800, WorstClass: uint32(good)}}))
+		offers := offersOf(owner.r.Reduce(z.now, SlotRequestReceived{from, &gossippb.Ask{Number: 1, Service: "m", Streaming: true, Prompt: 100, LeftMs: 9000, TargetMs: 800, WorstClass: uint32(classHealthy)}}))
 		require.Len(t, offers, 1)
 		require.NotNil(t, offers[0].Place)
 		return owner.r.byHash[offers[0].Place.Backend].ID
@@ -563,7 +563,7 @@
 		})
 	}
 	run("beat heard", func(int) { beat.Seq++; owner.r.Reduce(z.now, HeartbeatReceived{beat}) })
-	ask := &gossippb.Ask{Number: 1, Service: "m", Streaming: true, Prompt: 100, LeftMs: 9000, TargetMs: 800, WorstClass: uint32(good)}
+	ask := &gossippb.Ask{Number: 1, Service: "m", Streaming: true, Prompt: 100, LeftMs: 9000, TargetMs: 800, WorstClass: uint32(classHealthy)}
 	run("ask and report", func(int) {
 		offers := offersOf(owner.r.Reduce(z.now, SlotRequestReceived{mate.ip, ask}))
 		if p := offers[0].Place; p != nil {
