--- a/internal/router/ask.go
+++ b/internal/router/ask.go
@@ -122,7 +122,7 @@
 
 // announceToOwner sends a beat to an owner of another zone, which knows this host only while it has requests there.
 func (r *Router) announceToOwner(owner string) {
-	if zone := r.members.zoneOf[owner]; zone == "" || r.direct(zone) || r.now < r.owners.knownUntil[owner] {
+	if zone := r.members.zoneOf[owner]; zone == "" || r.exchangesHeartbeats(zone) || r.now < r.owners.knownUntil[owner] {
 		return
 	}
 	r.sendCrossZoneHeartbeat([]string{owner})
@@ -141,7 +141,7 @@
 func (r *Router) remoteOwnersWithLoad() []string {
 	var out []string
 	for _, b := range r.allBackends() {
-		if b.Zone == r.opt.Zone || b.own.total() == 0 {
+		if b.Zone == r.opt.Zone || b.ownLoad.total() == 0 {
 			continue
 		}
 		if owner := r.ownerOf(b); owner != "" && !slices.Contains(out, owner) {
--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -20,47 +20,47 @@
 type backend struct {
 	routing.Backend
 	revision routing.Revision
-	// goneAt is the revision of the latest removal; zero where there was none. listed is that of the latest registration.
-	goneAt     routing.Revision
-	listed     routing.Revision
-	removed    bool
-	removedAt  time.Duration
-	doubtUntil time.Duration
-	// own and others are requests in flight by priority: this host's, and the other hosts' by their
+	// removedRevision is the revision of the latest removal; zero where there was none. listed is that of the latest registration.
+	removedRevision    routing.Revision
+	registeredRevision routing.Revision
+	removed            bool
+	removedAt          time.Duration
+	usableUntil        time.Duration
+	// ownLoad and othersLoad are requests in flight by priority: this host's, and the other hosts' by their
 	// latest beats.
-	own, others load
-	// toldAt is when others last told of it.
-	toldAt time.Duration
-	// ownersWord is what its owner says of other hosts' requests there, which counts instead of others
+	ownLoad, othersLoad load
+	// othersReportedAt is when others last told of it.
+	othersReportedAt time.Duration
+	// ownerReport is what its owner says of other hosts' requests there, which counts instead of others
 	// while fromOwner is set.
-	ownersWord   load
-	ownersWordAt time.Duration
-	fromOwner    bool
-	// mine tells that this host owns it, as of the last computation.
-	mine bool
-	hash uint32
+	ownerReport     load
+	ownerReportedAt time.Duration
+	useOwnerReport  bool
+	// owned tells that this host owns it, as of the last computation.
+	owned bool
+	hash  uint32
 	// interval is the learned time between the events of a stream, or to the answer of a plain call.
 	interval time.Duration
 	samples  int
-	// read is the learned time to read a prompt token; zero where unknown.
-	read time.Duration
-	// told is the speed that this host last told others.
-	told speed
+	// prefillPerToken is the learned time to prefillPerToken a prompt token; zero where unknown.
+	prefillPerToken time.Duration
+	// reportedSpeed is the speed that this host last reportedSpeed others.
+	reportedSpeed speed
 	failing
 	// replaced tells that another instance has its address: this one never comes back.
 	replaced bool
-	// leaving tells that it has said in an answer that it leaves, to this host if saidLeaving, or to another one.
-	leaving, saidLeaving bool
-	// awayUntil is until when it wants nothing from this host.
-	awayUntil time.Duration
+	// leaving tells that it has said in an answer that it leaves, to this host if announcedLeaving, or to another one.
+	leaving, announcedLeaving bool
+	// holdOffUntil is until when it wants nothing from this host.
+	holdOffUntil time.Duration
 	// evacuated tells that operators have evacuated its availability zone.
 	evacuated bool
 	warming   coldState
 	// ended tells that its process has ended without leaving; broken are requests that broke there before that was known.
-	ended  bool
-	broken []brokenRun
-	// checkedUntil is until when it is not asked again whether it can be reached.
-	checkedUntil time.Duration
+	ended      bool
+	brokenRuns []brokenRun
+	// probedUntil is until when it is not asked again whether it can be reached.
+	probedUntil time.Duration
 }
 
 func newBackend(b routing.Backend) *backend {
@@ -89,35 +89,35 @@
 
 // inFlight is how many requests the backend server is believed to hold.
 func (b *backend) inFlight() int {
-	return b.own.total() + b.believedOthers().total()
+	return b.ownLoad.total() + b.loadOfOthers().total()
 }
 
-// believedOthers is what other hosts are believed to carry there.
-func (b *backend) believedOthers() load {
-	if b.fromOwner {
-		return b.ownersWord
+// loadOfOthers is what other hosts are believed to carry there.
+func (b *backend) loadOfOthers() load {
+	if b.useOwnerReport {
+		return b.ownerReport
 	}
-	return b.others
+	return b.othersLoad
 }
 
-// bar is why a backend server may not get new work.
-type bar string
+// exclusion is why a backend server may not get new work.
+type exclusion string
 
-// The bars. One that is free has none.
+// The bars. One that is notExcluded has none.
 const (
-	free      bar = ""
-	gone      bar = "gone"
-	evacuated bar = "evacuated"
-	draining  bar = "draining"
-	leaving   bar = "leaving"
-	replaced  bar = "replaced"
-	away      bar = "away"
+	notExcluded exclusion = ""
+	gone        exclusion = "gone"
+	evacuated   exclusion = "evacuated"
+	draining    exclusion = "draining"
+	leaving     exclusion = "leaving"
+	replaced    exclusion = "replaced"
+	holdingOff  exclusion = "away"
 )
 
-// barred tells why new work may not go to a backend server.
-func (b *backend) barred(now time.Duration) bar {
+// excluded tells why new work may not go to a backend server.
+func (b *backend) excluded(now time.Duration) exclusion {
 	switch {
-	case b.removed && now >= b.doubtUntil:
+	case b.removed && now >= b.usableUntil:
 		return gone
 	case b.evacuated:
 		return evacuated
@@ -127,20 +127,20 @@
 		return leaving
 	case b.replaced:
 		return replaced
-	case now < b.awayUntil:
-		return away
+	case now < b.holdOffUntil:
+		return holdingOff
 	default:
-		return free
+		return notExcluded
 	}
 }
 
 // usable tells whether new work may go there, and whether only for want of others.
 func (b *backend) usable(now time.Duration) (ok, doubtful bool) {
-	return b.barred(now) == free, b.removed
+	return b.excluded(now) == notExcluded, b.removed
 }
 
-// learnPace learns the time between events, or of a plain answer.
-func (b *backend) learnPace(pace time.Duration) {
+// learnInterval learns the time between events, or of a plain answer.
+func (b *backend) learnInterval(pace time.Duration) {
 	if pace <= 0 {
 		return
 	}
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -47,7 +47,7 @@
 
 // sendBeats tells the hosts that this one talks to directly what it carries.
 func (r *Router) sendBeats() {
-	mates, period, perHost := time.Duration(len(r.zoneMates())), r.beatPeriod(), changePerHost
+	mates, period, perHost := time.Duration(len(r.zonePeers())), r.beatPeriod(), changePerHost
 	if r.sharing() {
 		perHost = joinPerHost
 	}
@@ -78,7 +78,7 @@
 
 // beatPeriod is the time between two beats that nothing brings forward.
 func (r *Router) beatPeriod() time.Duration {
-	mates := time.Duration(len(r.zoneMates()))
+	mates := time.Duration(len(r.zonePeers()))
 	if r.sharing() {
 		return min(sharedMost, max(beatFirst, sharedPerHost*mates))
 	}
@@ -126,14 +126,14 @@
 	var to []string
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
-		if r.direct(m.zone) && (!m.unreachable || r.due(h)) {
+		if r.exchangesHeartbeats(m.zone) && (!m.unreachable || r.due(h)) {
 			to = append(to, h)
 		}
 	}
 	var strangers []string
 	for h := range r.members.contactAt {
 		zone := r.members.zoneOf[h]
-		if r.members.byHost[h] == nil && (zone == "" || r.direct(zone)) {
+		if r.members.byHost[h] == nil && (zone == "" || r.exchangesHeartbeats(zone)) {
 			strangers = append(strangers, h)
 		}
 	}
@@ -158,8 +158,8 @@
 func (r *Router) ownLoads() []*gossippb.Load {
 	var out []*gossippb.Load
 	for _, b := range r.allBackends() {
-		if b.own.total() > 0 {
-			out = append(out, b.own.toProto(b.hash))
+		if b.ownLoad.total() > 0 {
+			out = append(out, b.ownLoad.toProto(b.hash))
 		}
 	}
 	return out
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -21,8 +21,8 @@
 			}
 			r.Reduce(0, n)
 			for i, be := range r.allBackends() {
-				be.others.counts[0] = i % 5
-				be.learnPace(time.Duration(10+i%7) * time.Millisecond)
+				be.othersLoad.counts[0] = i % 5
+				be.learnInterval(time.Duration(10+i%7) * time.Millisecond)
 				be.learnRead(time.Duration(10+i%5) * time.Microsecond)
 			}
 			b.ReportAllocs()
@@ -52,7 +52,7 @@
 			for _, be := range h.allBackends()[:10] {
 				word.Loads = append(word.Loads, be.carried().toProto(be.hash))
 			}
-			from := h.zoneMates()[0]
+			from := h.zonePeers()[0]
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -100,7 +100,7 @@
 // coldRate is this host's part of the rate of a cold backend server; zero where others send there.
 func (r *Router) coldRate(b *backend) float64 {
 	bound, _ := r.coldBound(b)
-	if bound <= 0 || r.now < coldAge || !r.direct(b.Zone) || r.hearsNobody() {
+	if bound <= 0 || r.now < coldAge || !r.exchangesHeartbeats(b.Zone) || r.hearsNobody() {
 		return 0
 	}
 	allowed := bound*max(1, r.opt.Bounds.ColdOver) + r.opt.Bounds.ColdSlack
@@ -110,7 +110,7 @@
 	mine := coldRank(b.hash, r.opt.Host)
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
-		if !r.direct(m.zone) {
+		if !r.exchangesHeartbeats(m.zone) {
 			continue
 		}
 		hosts++
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -11,169 +11,169 @@
 // Event is an input of the reducer.
 type Event interface{ event() }
 
-// Tick lets time pass.
+// Tick advances the reducer's clock.
 type Tick struct{}
 
-// Submit is a caller's request whose route and key the traffic side has checked.
+// Submit is a request whose route and key have been checked by the gateway.
 type Submit struct {
-	// ID names the request on this host.
+	// ID identifies the request on this host.
 	ID        uint64
 	Route     *routing.Route
 	Workspace *routing.Workspace // nil on public routes
-	Rank      float64            // urgency: 0 the most, routing.LeastUrgent the least
-	PromptTok int                // of the prompt, in tokens; zero where unknown
-	OutputTok int                // the caller's estimate of the output, in tokens
-	Cost      float64            // what the quota counts
-	Deadline  time.Duration      // moment on the reducer's clock at which the answer is of no more use
-	// Digest names the request whatever its attempt; zero where nobody needs it.
+	Rank      float64            // urgency from 0, the most urgent, to routing.LeastUrgent
+	PromptTok int                // length of the prompt in tokens; zero if unknown
+	OutputTok int                // the caller's estimate of the output in tokens
+	Cost      float64            // counted against the workspace's quota, in the quota's unit
+	Deadline  time.Duration      // on the reducer's clock
+	// Digest identifies the request across attempts; zero if the request is not subject to quarantine.
 	Digest quarantine.Digest
 }
 
-// StreamStarted tells that a stream's first event has come, First after the request was sent.
+// StreamStarted reports the first event of a stream, First after the request was sent.
 type StreamStarted struct {
 	ID    uint64
 	First time.Duration
 }
 
-// StreamProgress tells the mean time between the first events of a stream that goes on.
+// StreamProgress reports the mean interval between the first events of a stream that is still open.
 type StreamProgress struct {
 	ID       uint64
 	Interval time.Duration
 }
 
-// Stalled tells that the backend server has been silent for long. The answer is a Verdict.
+// Stalled reports that the backend server has sent nothing for too long. It is answered by a StallDecision.
 type Stalled struct{ ID uint64 }
 
-// CallerLeft tells that the caller left before the answer was complete.
+// CallerLeft reports that the caller disconnected before the answer was complete.
 type CallerLeft struct{ ID uint64 }
 
 // Outcome is how a dispatch ended.
 type Outcome int
 
-// The outcomes, by what they prove.
+// The outcomes, by what is known about whether the request ran.
 const (
-	// Answered: the answer, of whatever status, went to the caller in full.
+	// Answered: the answer, whatever its status, was delivered to the caller in full.
 	Answered Outcome = iota + 1
-	// Failed: the backend server answered with a failure of its own, which is held back.
+	// Failed: the backend server answered with an error of its own, which is withheld from the caller for now.
 	Failed
 	// NotSent: no byte of the request left this host.
 	NotSent
-	// Rejected: the backend server says that it has not run the request.
+	// Rejected: the backend server reports that it has not run the request.
 	Rejected
-	// WrongInstance: another backend server has the address, and has not run the request.
+	// WrongInstance: a different backend server now has the address; the request has not run.
 	WrongInstance
-	// Broken: the connection or the answer broke; the request may have run.
+	// Broken: the connection or the answer was interrupted; the request may have run.
 	Broken
-	// TimedOut: the request's time ended first; it may have run.
+	// TimedOut: the deadline passed first; the request may have run.
 	TimedOut
-	// Canceled: the caller left; the request may have run.
+	// Canceled: the caller disconnected; the request may have run.
 	Canceled
 )
 
-// DispatchEnded tells how a dispatch ended.
+// DispatchEnded reports how a dispatch ended.
 type DispatchEnded struct {
 	ID      uint64
 	Outcome Outcome
-	// Delivered tells that bytes of the answer have reached the caller: only a stream that goes on
-	// at its last event can still be repeated.
+	// Delivered is set if bytes of the answer have reached the caller. Only a stream that can be resumed after its
+	// last event may still be retried then.
 	Delivered bool
-	// First is the time to the first byte of the answer, Interval the mean time between events, and
-	// Events their number; zero where unknown.
+	// First is the time to the first byte of the answer, Interval the mean time between events and Events
+	// their number; zero if unknown.
 	First    time.Duration
 	Interval time.Duration
 	Events   int
-	// Fault tells that the backend server was at fault, so that it is avoided.
+	// Fault is set if the backend server was at fault and should be avoided for a while.
 	Fault bool
-	// Success tells that the answer was a whole success.
+	// Success is set if the answer was a complete success.
 	Success bool
-	// Digest names the request where its end may say something of it; zero elsewhere.
+	// Digest identifies the request if the way it ended counts for or against it in quarantine; zero otherwise.
 	Digest quarantine.Digest
 }
 
-// BackendAnnouncement is what a start of a backend server says of itself in an answer.
+// BackendAnnouncement is what a backend server states about itself in an answer, valid for this Start of it.
 type BackendAnnouncement struct {
 	ID    string
 	Start uint64
-	// Leaving: it is about to leave.
+	// Leaving is set if it is about to shut down.
 	Leaving bool
-	// HoldOff is how long it wants nothing more from this host; zero where it does not say.
+	// HoldOff is how long it asks this host to send it nothing; zero if it does not ask.
 	HoldOff time.Duration
 }
 
-// ProbeResult tells whether the address of a start of a backend server could be reached, or refused the connection; neither where
-// there was no answer.
+// ProbeResult is the result of a Probe of one start of a backend server: its address accepted a connection or refused it.
+// Neither is set if there was no answer.
 type ProbeResult struct {
 	ID               string
 	Start            uint64
 	Reached, Refused bool
 }
 
-// HeartbeatReceived is a heartbeat of another host.
+// HeartbeatReceived is a heartbeat from another host.
 type HeartbeatReceived struct{ Heartbeat *gossippb.Beat }
 
-// SlotRequestReceived is another host's question for a place at a backend server that this host owns.
+// SlotRequestReceived is another host's request for a slot at a backend server that this host owns.
 type SlotRequestReceived struct {
 	From string
 	Ask  *gossippb.Ask
 }
 
-// ChargeRequestReceived is another host's question to the owner of a workspace's quota.
+// ChargeRequestReceived is another host's request to charge a workspace's quota, which this host owns.
 type ChargeRequestReceived struct {
 	From   string
 	Charge *gossippb.Charge
 }
 
-// ChargeResponseReceived is the answer to this host's question.
+// ChargeResponseReceived is a quota owner's response to this host's charge request.
 type ChargeResponseReceived struct {
 	From    string
 	Charged *gossippb.Charged
 }
 
-// SlotOfferReceived is the answer to this host's question.
+// SlotOfferReceived is an owner's response to this host's slot request.
 type SlotOfferReceived struct {
 	From  string
 	Offer *gossippb.Offer
 }
 
-// ReportReceived is another host's word of one request at a backend server that this host owns.
+// ReportReceived is another host's report on one request at a backend server that this host owns.
 type ReportReceived struct {
 	From   string
 	Report *gossippb.Report
 }
 
-// OccupancyReceived is an owner's word of what its backend servers carry.
+// OccupancyReceived is an owner's report of the load at its backend servers.
 type OccupancyReceived struct {
 	From      string
 	Occupancy *gossippb.Occupancy
 }
 
-// RelayReceived are sums of other zones that a zone mate has heard and passes on.
+// RelayReceived carries summaries of other zones that a zone peer received and relays.
 type RelayReceived struct {
 	From  string
 	Relay *gossippb.Relay
 }
 
-// Update are changes read from the platform's store or from another host.
+// Update holds changes read from the platform's store or pulled from another host. It is sent between hosts as JSON.
 type Update struct {
 	routing.Changes
-	// Full tells that the listing is complete as of AsOf: what it lacks is gone.
+	// Full is set for a complete listing as of AsOf: whatever it does not contain has been removed.
 	Full bool
-	// After and AsOf are revisions of the store: the news hold every change after the one up to the
-	// other. Revision is the highest among the changes, or that the sender knows of.
+	// The update contains every change later than After up to AsOf, both revisions of the store. Revision is the
+	// highest revision among the changes, or the highest that the sender knows of.
 	After, AsOf routing.Revision
 	Revision    routing.Revision
-	// FromStore tells the store's word from a peer's; From names that peer, for logs.
+	// FromStore is set if the update was read from the store. Otherwise From names the peer, for logs.
 	FromStore bool
 	From      string `json:"-"`
 }
 
-// StoreStatus tells that the store answers, or does not.
+// StoreStatus reports whether the store answers.
 type StoreStatus struct{ OK bool }
 
-// Drain begins the shutdown; at Until, which is Grace later, the process ends.
+// Drain begins the shutdown. The process ends at Until, which is Grace from now.
 type Drain struct{ Until, Grace time.Duration }
 
-// SettingsChanged takes changed settings.
+// SettingsChanged carries the settings that may change while the host runs.
 type SettingsChanged struct {
 	Seeds  []string
 	Bounds Bounds
@@ -201,51 +201,51 @@
 func (StoreStatus) event()            {}
 func (Drain) event()                  {}
 
-// Effect is an output of the reducer, for the node to carry out.
+// Effect is an output of the reducer, carried out by the node.
 type Effect interface{ effect() }
 
-// DecisionBasis are what a decision was based on, for logs.
+// DecisionBasis records the inputs of a decision for logs.
 type DecisionBasis struct {
-	InFlight int           // believed at the chosen backend server, or the least of the service
-	Limit    int           // for this priority there
-	ViewAge  time.Duration // of the oldest heartbeat that was counted
+	InFlight int           // at the chosen backend server, or the least loaded one of the service, as known to this host
+	Limit    int           // for this priority at that backend server
+	ViewAge  time.Duration // age of the oldest heartbeat that was counted
 	Version  uint64        // of the configuration
-	Era      uint64        // of the platform's store, by whose word the backend servers are known
+	Era      uint64        // of the store that the backend servers were read from
 	Quota    QuotaBasis
 	// Wait is the predicted time to a stream's first event at the chosen backend server.
 	Wait time.Duration
-	// Owner is the host that gave the place, or decided over the quota; empty where this host decided alone.
+	// Owner is the host that granted the slot or decided on the quota; empty if this host decided alone.
 	Owner string
 	// Known, Full and Unreachable count the service's backend servers: those that may be used, those of them
-	// without room for this priority, and those to which no connection is believed possible. Cold are those of the full
-	// ones that bear no more from this host as they have just started. Excluded may not be used at all: they leave, their
+	// without a slot for this priority, and those assumed to be unreachable. Cold counts those of the full ones that take no
+	// more from this host because they started recently. Excluded ones may not be used at all: they are leaving, their
 	// availability zone is evacuated, or their region may not serve the request.
 	Known, Full, Unreachable, Cold, Excluded int
-	// suspects are those of the full ones that are not trusted.
+	// suspects counts those of the full ones that repeatedly fail requests.
 	suspects int
 }
 
-// QuotaBasis is what a refusal over a quota was based on, in the quota's unit.
+// QuotaBasis records the inputs of a refusal over a quota, in the quota's unit.
 type QuotaBasis struct {
 	Cost      float64 // of the request
-	Remaining float64 // in the workspace's bucket, as this host believes
-	OwnShare  float64 // in this host's own part of it
+	Remaining float64 // in the workspace's bucket, as known to this host
+	OwnShare  float64 // in this host's share of the bucket
 }
 
-// Dispatch sends, or sends once more, a request to a backend server.
+// Dispatch sends a request to a backend server, for the first time or again.
 type Dispatch struct {
 	ID      uint64
 	Backend routing.Backend
-	// Attempt counts the sends of this request from 1.
+	// Attempt counts the sends of this request, from 1.
 	Attempt int
-	// MaxIdleConns is how many idle connections to the backend server this host may hold.
+	// MaxIdleConns limits the idle connections that this host keeps to the backend server.
 	MaxIdleConns int
-	// At is when it was decided: the permission is short-lived.
+	// At is the time of the decision. A dispatch must start soon after it.
 	At    time.Duration
 	Basis DecisionBasis
 }
 
-// Cause is why a request ends without a backend server's answer.
+// Cause is the reason why a request ends without a backend server's answer.
 type Cause string
 
 // The causes.
@@ -259,20 +259,20 @@
 	Quarantined Cause = "quarantined"
 )
 
-// Abort breaks off the call of one attempt, as its backend server has started again since: whether the
-// request ran is unknown.
+// Abort cancels one attempt because its backend server has restarted since it was sent. Whether the request ran is
+// unknown.
 type Abort struct {
 	ID      uint64
 	Attempt int
 }
 
-// StallDecision answers Stalled: give the dispatch up, for another backend server, or wait on.
+// StallDecision answers Stalled: abandon the dispatch and reassign the request to another backend server, or keep waiting.
 type StallDecision struct {
 	ID       uint64
 	Reassign bool
 }
 
-// Refuse ends a request that has not run, with the time to come back.
+// Refuse ends a request that has not run and tells the caller when to retry.
 type Refuse struct {
 	ID         uint64
 	Cause      Cause
@@ -280,58 +280,56 @@
 	Basis      DecisionBasis
 }
 
-// GiveUp ends a request that may have run. PassOn delivers the failure that a backend server gave
-// and that was held back for a repeat which did not happen.
+// GiveUp ends a request that may have run. With DeliverFailure the caller gets the backend server's error that was
+// withheld for a retry that did not take place.
 type GiveUp struct {
 	ID             uint64
 	Cause          Cause
 	DeliverFailure bool
 }
 
-// SendHeartbeat sends a heartbeat to hosts by their IP numbers.
+// SendHeartbeat sends a heartbeat to hosts, given by IP address.
 type SendHeartbeat struct {
 	To        []string
 	Heartbeat *gossippb.Beat
 }
 
-// Send sends a datagram that is no heartbeat to hosts by their IP numbers.
+// Send sends a datagram other than a heartbeat to hosts, given by IP address.
 type Send struct {
 	To     []string
 	Packet *gossippb.Packet
 }
 
-// ReadStore turns the reading of the platform's store on or off. Shared tells that zone mates read it
-// too, so that a watch that hears nothing more is noticed by others.
+// ReadStore turns reading of the platform's store on or off. Shared is set if zone peers read it too, so that they
+// cover for a watch that has silently stopped.
 type ReadStore struct{ On, Shared bool }
 
-// Pull asks another host for its news: what has changed after a revision, and the configuration if it
-// is newer than a version.
+// Pull asks another host for an Update: the changes after a revision, and the configuration if it is newer than a version.
 type Pull struct {
 	Host string
 	Since
 }
 
-// Since is what the asker of news has already.
+// Since is the state that the pulling host already has.
 type Since struct {
 	Revision routing.Revision
 	Version  uint64
 }
 
-// ConfigActivated tells that a newer configuration is in force.
+// ConfigActivated puts a newer configuration into force.
 type ConfigActivated struct{ Table *routing.Table }
 
-// BackendGone tells that a backend server is not to be used any more, so that connections to it
-// can be closed.
+// BackendGone reports that a backend server is no longer used, so that connections to it can be closed.
 type BackendGone struct{ Backend routing.Backend }
 
-// Probe asks whether a backend server can still be reached, as a Checked event. A connection that is made is kept for the next
-// request, among at most Keep.
+// Probe asks whether a backend server is still reachable; the answer is a ProbeResult. A connection made for it is kept
+// for the next request, among at most MaxIdleConns idle ones.
 type Probe struct {
 	Backend      routing.Backend
 	MaxIdleConns int
 }
 
-// Note is a change of belief, for logs.
+// Note is a change of state for the log.
 type Note struct {
 	What    string
 	Subject string
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -77,7 +77,7 @@
 			return
 		}
 		b := newBench(t, 3)
-		for i := range fullMesh + 1 {
+		for i := range maxFullMesh + 1 {
 			b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
 		b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -85,9 +85,9 @@
 	if !ok {
 		return
 	}
-	b.others.counts[priority] += now.counts[priority] - was.counts[priority]
-	b.others.prefillBacklog += now.prefillBacklog - was.prefillBacklog
-	b.toldAt = r.now
+	b.othersLoad.counts[priority] += now.counts[priority] - was.counts[priority]
+	b.othersLoad.prefillBacklog += now.prefillBacklog - was.prefillBacklog
+	b.othersReportedAt = r.now
 }
 
 // handleReport takes another host's word of one request at a backend server of this host's. An owner hears of
@@ -121,7 +121,7 @@
 func (r *Router) learnFromReport(b *backend, rep *gossippb.Report) {
 	svc := r.serviceNamed(b.Service)
 	if pace := min(time.Duration(rep.IntervalUs)*time.Microsecond, maxEventInterval); pace > 0 {
-		b.learnPace(pace)
+		b.learnInterval(pace)
 		svc.learnPace(pace)
 	}
 	if read := time.Duration(rep.ReadNs); read > 0 && read <= mostRead {
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -164,11 +164,11 @@
 		m = &member{host: b.Host, quotaKey: b.Host + "/" + itoa(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, previousIncarnation: replaced,
 			spent: map[string]uint64{}, startedAt: r.now - time.Duration(b.AgeMs)*time.Millisecond}
 		r.members.byHost[b.Host] = m
-		r.noteZone(b.Host, b.Zone)
+		r.recordZone(b.Host, b.Zone)
 		r.members.order = append(r.members.order, b.Host)
 		slices.Sort(r.members.order)
 		r.membersChanged()
-		if r.direct(b.Zone) {
+		if r.exchangesHeartbeats(b.Zone) {
 			r.zones.peersAt = 0       // name the new host to the others in the next heartbeat
 			r.heartbeatPending = true // send the new host a heartbeat soon
 			r.emit(Note{What: "host joined", Subject: b.Host, Detail: b.Zone})
@@ -179,7 +179,7 @@
 		}
 	}
 	returned := m.unreachable
-	wasCut := returned && r.zoneSilent(m.zone)
+	wasCut := returned && r.zoneUnreachable(m.zone)
 	if m.unreachable {
 		m.unreachable = false
 		r.membersChanged()
@@ -190,14 +190,14 @@
 	}
 	m.seq, m.lastSeen, m.leaving, m.readsStore, m.listsStore = b.Seq, r.now, b.Leaving, b.ReadsStore, b.ListsStore
 	if wasCut {
-		r.zoneBack(m.zone)
+		r.zoneRecovered(m.zone)
 	}
 	r.applyLoads(m, b.Loads)
 	r.applyDead(m, b.Dead)
 	r.takeFailing(m, b.Failing)
 	r.takeSpeeds(b.Speeds)
 	r.applySpent(m, b.Spent, returned)
-	r.takeZones(m.zone, b.Zones)
+	r.applyZoneSummaries(m.zone, b.Zones)
 	r.takeSuspects(b.Suspects)
 	r.takeLeaving(m.host, b.Leaves)
 	r.takeEvacuations(m.host, b.Evacuations)
@@ -213,7 +213,7 @@
 		return
 	}
 	if zone != "" {
-		r.noteZone(host, zone)
+		r.recordZone(host, zone)
 	}
 	if _, ok := r.members.contactAt[host]; !ok {
 		r.members.contactAt[host] = 0
@@ -265,10 +265,10 @@
 			continue
 		}
 		for p, n := range what.counts {
-			b.others.counts[p] += sign * n
+			b.othersLoad.counts[p] += sign * n
 		}
-		b.others.prefillBacklog += sign * what.prefillBacklog
-		b.toldAt = r.now
+		b.othersLoad.prefillBacklog += sign * what.prefillBacklog
+		b.othersReportedAt = r.now
 	}
 }
 
@@ -278,7 +278,7 @@
 		if q, ok := r.quotas[s.Workspace]; ok {
 			q.ApplyPeerTotal(limit.PeerTotal{Peer: m.quotaKey, Spent: float64(s.Amount), InZone: m.zone == r.opt.Zone, Reconnected: returned, RecentlyStarted: r.now-m.startedAt <= newHostDuration})
 			if q.NearlyExhausted() {
-				r.zones.tightUntil = r.now + tightFor
+				r.zones.quotaLowUntil = r.now + tightFor
 			}
 		}
 	}
@@ -295,7 +295,7 @@
 	for _, host := range slices.Clone(r.members.order) {
 		m := r.members.byHost[host]
 		quiet := r.now - m.lastSeen
-		if quiet > patience && !r.direct(m.zone) {
+		if quiet > patience && !r.exchangesHeartbeats(m.zone) {
 			// A host of another zone is heard while it speaks for its zone or has requests here.
 			r.removeMember(m)
 			continue
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -171,7 +171,7 @@
 
 // pushChanges tells the zone at once what the store has just said, where few hosts read it.
 func (r *Router) pushChanges(c routing.Changes) {
-	if !r.relaying() {
+	if !r.largeFleet() {
 		return
 	}
 	pushes := 0
@@ -184,7 +184,7 @@
 			r.emit(Note{What: "changes not pushed", Detail: err.Error()})
 			return
 		}
-		r.emitBeat(r.zoneMates(), func(b *gossippb.Beat) { b.Changes = data })
+		r.emitBeat(r.zonePeers(), func(b *gossippb.Beat) { b.Changes = data })
 	}
 }
 
@@ -219,7 +219,7 @@
 // waits a moment longer: its part of the quotas follows from how many hosts there are, which it does not
 // know yet.
 func (r *Router) announce() {
-	r.updates.withheld = r.relaying() && r.now < startWait
+	r.updates.withheld = r.largeFleet() && r.now < startWait
 	if !r.updates.withheld {
 		r.emit(ConfigActivated{r.table})
 	}
@@ -238,7 +238,7 @@
 	}
 	q = limit.NewQuota(r.now, w.Rate, w.Burst, r.allowance())
 	q.SetAdmitThreshold(r.rng.Float64())
-	if r.now < unheardFor {
+	if r.now < zoneDiscoveryDuration {
 		q.StaggerStart(r.rng.Float64())
 	}
 	for _, h := range r.members.order {
@@ -268,7 +268,7 @@
 	r.dropLost()
 	for _, id := range slices.Sorted(maps.Keys(r.tombstones)) {
 		b := r.tombstones[id]
-		if r.now-b.removedAt > tombstoneFor && b.own.total() == 0 {
+		if r.now-b.removedAt > tombstoneFor && b.ownLoad.total() == 0 {
 			delete(r.tombstones, id)
 			delete(r.warming, id)
 			delete(r.backends, id)
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -72,11 +72,11 @@
 			list = append(list, ch)
 		}
 		b.post(Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Backends: list}})
-		for i := 0; i < fullMesh; i++ {
+		for i := 0; i < maxFullMesh; i++ {
 			b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
 		for _, be := range b.r.backends {
-			be.own.counts[0] = 1
+			be.ownLoad.counts[0] = 1
 		}
 		return b
 	}
@@ -84,7 +84,7 @@
 	s0 := b.r.backends["s0"]
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.2.1", Zone: "z2", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: s0.hash, InFlight: counts{4}.pack()}}}})
-	sum := b.r.ownZoneSum()
+	sum := b.r.ownZoneSummary()
 	loads := loadsFromProto(sum.Loads)
 	require.Equal(t, 5, loads[s0.hash].total(), "this zone's and the third zone's")
 	require.NotContains(t, loads, b.r.backends["s1"].hash)
@@ -106,7 +106,7 @@
 	b := newBench(t, 0)
 	reads := func() []ReadStore { return effectsOf[ReadStore](b.post(Tick{})) }
 	require.Equal(t, []ReadStore{{On: true}}, reads())
-	for i := 0; i <= fullMesh; i++ {
+	for i := 0; i <= maxFullMesh; i++ {
 		b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
 	require.Equal(t, []ReadStore{{On: true, Shared: true}}, reads())
@@ -119,7 +119,7 @@
 // that had said so long that they leave.
 func TestManyChangesAtOnceReachTheZone(t *testing.T) {
 	reader := newBench(t, 0)
-	for i := 0; i <= fullMesh; i++ {
+	for i := 0; i <= maxFullMesh; i++ {
 		reader.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
 	reader.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -88,7 +88,7 @@
 
 // sharing tells whether backend servers have owners that are asked for places. In a small fleet every host
 // tells each change to all others instead, which grows with the square of the hosts.
-func (r *Router) sharing() bool { return r.relaying() }
+func (r *Router) sharing() bool { return r.largeFleet() }
 
 // ownerOf is the host that owns a backend server; empty where none is known. Other zones name theirs in their
 // sums.
@@ -97,7 +97,7 @@
 		return ""
 	}
 	if b.Zone != r.opt.Zone {
-		z, ok := r.zones.sums[b.Zone]
+		z, ok := r.zones.summaries[b.Zone]
 		if !ok || z.stale || len(z.owners) == 0 {
 			return ""
 		}
@@ -128,7 +128,7 @@
 		return false
 	}
 	r.ownShards()
-	return b.mine
+	return b.owned
 }
 
 // computeOwners divides the zone's backend servers into a power of two of shards, so that the number seldom
@@ -166,9 +166,9 @@
 	for _, b := range zone {
 		shard := b.hash % uint32(shards)
 		r.owners.shards[shard] = append(r.owners.shards[shard], b)
-		b.mine = r.owners.byShard[shard] == r.opt.Host
-		if b.mine {
-			b.fromOwner = false
+		b.owned = r.owners.byShard[shard] == r.opt.Host
+		if b.owned {
+			b.useOwnerReport = false
 			r.owners.mine = append(r.owners.mine, b)
 		}
 	}
@@ -197,7 +197,7 @@
 	if r.drain == nil {
 		consider(r.opt.Host, 0)
 	}
-	for _, h := range r.zoneMates() {
+	for _, h := range r.zonePeers() {
 		if m := r.members.byHost[h]; !m.leaving {
 			consider(h, m.startedAt)
 		}
@@ -247,8 +247,8 @@
 		if all := b.carried(); all != (load{}) {
 			o.Loads = append(o.Loads, all.toProto(b.hash))
 		}
-		if b.samples > 0 && (whole || b.speed().differs(b.told)) {
-			b.told = b.speed()
+		if b.samples > 0 && (whole || b.speed().differs(b.reportedSpeed)) {
+			b.reportedSpeed = b.speed()
 			o.Speeds = append(o.Speeds, b.speedMessage())
 		}
 	}
@@ -261,13 +261,13 @@
 		}
 	}
 	r.owners.told++
-	r.emit(Send{To: r.zoneMates(), Packet: &gossippb.Packet{Occupancy: o}})
+	r.emit(Send{To: r.zonePeers(), Packet: &gossippb.Packet{Occupancy: o}})
 }
 
 // carried is what a backend server is believed to carry, requests of all hosts together.
 func (b *backend) carried() load {
-	all := b.believedOthers()
-	all.add(b.own)
+	all := b.loadOfOthers()
+	all.add(b.ownLoad)
 	return all
 }
 
@@ -314,15 +314,15 @@
 		return
 	}
 	for p := range all.counts {
-		all.counts[p] = max(0, all.counts[p]-b.own.counts[p])
+		all.counts[p] = max(0, all.counts[p]-b.ownLoad.counts[p])
 	}
-	all.prefillBacklog = max(0, all.prefillBacklog-b.own.prefillBacklog)
-	b.fromOwner, b.ownersWord, b.ownersWordAt = true, all, r.now
+	all.prefillBacklog = max(0, all.prefillBacklog-b.ownLoad.prefillBacklog)
+	b.useOwnerReport, b.ownerReport, b.ownerReportedAt = true, all, r.now
 }
 
 // occupancyPeriod is the time between two words of an owner that nothing brings forward.
 func (r *Router) occupancyPeriod() time.Duration {
-	return max(occupancyEvery, occupancyPerHost*time.Duration(len(r.zoneMates())))
+	return max(occupancyEvery, occupancyPerHost*time.Duration(len(r.zonePeers())))
 }
 
 // expireOccupancy goes back to what the other hosts' beats say where an owner has fallen silent.
@@ -333,9 +333,9 @@
 	r.owners.expireAt = r.now + occupancyEvery
 	stale := occupancyStale * r.occupancyPeriod()
 	for _, b := range r.allBackends() {
-		told := b.Zone != r.opt.Zone && !r.zoneSilent(b.Zone) // in its zone's sums, not in each
-		if b.fromOwner && !told && r.now-b.ownersWordAt > stale {
-			b.fromOwner = false
+		told := b.Zone != r.opt.Zone && !r.zoneUnreachable(b.Zone) // in its zone's sums, not in each
+		if b.useOwnerReport && !told && r.now-b.ownerReportedAt > stale {
+			b.useOwnerReport = false
 		}
 	}
 }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -54,10 +54,10 @@
 func (r *Router) namedPeers() []string {
 	all := r.members.order
 	switch {
-	case !r.relaying() || len(all) <= namedPeers:
+	case !r.largeFleet() || len(all) <= namedPeers:
 		return all
 	case r.zones.peersAt == 0:
-		return r.zoneMates()
+		return r.zonePeers()
 	}
 	return r.drawn(all, namedPeers)
 }
@@ -68,7 +68,7 @@
 	for _, h := range r.namedPeers() {
 		out = append(out, &gossippb.Peer{Host: h, Zone: r.members.byHost[h].zone})
 	}
-	if !r.relaying() {
+	if !r.largeFleet() {
 		return out
 	}
 	for _, zone := range r.otherZones() {
@@ -97,10 +97,10 @@
 	}
 	slices.Sort(out)
 	slices.Sort(rest)
-	if len(out) > speakers {
-		out = out[:speakers]
+	if len(out) > zoneReporters {
+		out = out[:zoneReporters]
 	}
-	for len(out) < speakers && len(rest) > 0 {
+	for len(out) < zoneReporters && len(rest) > 0 {
 		i := r.rng.IntN(len(rest))
 		out = append(out, rest[i])
 		rest = slices.Delete(rest, i, i+1)
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -109,7 +109,7 @@
 		return classUnreachable
 	case doubtful:
 		return classDoubtful
-	case b.suspect(now) || s.r.zoneSilent(b.Zone) || s.r.outOfReach(b) || (b.onProbation() && s.probationLimitReached(b)):
+	case b.suspect(now) || s.r.zoneUnreachable(b.Zone) || s.r.outOfReach(b) || (b.onProbation() && s.probationLimitReached(b)):
 		return classSuspect
 	case s.tooSlow(b):
 		return classSlow
@@ -124,7 +124,7 @@
 	if s.scope == scopeOwned {
 		return b.inFlight() > b.trials
 	}
-	return b.own.total() > b.trials
+	return b.ownLoad.total() > b.trials
 }
 
 // selector is the choice of a backend server for one request.
@@ -270,7 +270,7 @@
 // crossZoneMargin is how much of its limit a backend server of another zone must have free in a large fleet:
 // its counts are old, and all who overflow see the same free places.
 func (r *Router) crossZoneMargin(b *backend) int {
-	if b.Zone == r.opt.Zone || !r.relaying() {
+	if b.Zone == r.opt.Zone || !r.largeFleet() {
 		return 0
 	}
 	return crossZoneMinFree
@@ -293,7 +293,7 @@
 	r := s.r
 	var best candidate
 	draws := len(list)
-	if r.relaying() && s.scope != scopeOwned {
+	if r.largeFleet() && s.scope != scopeOwned {
 		draws = min(draws, sampleSize)
 	}
 	for i := 0; i < draws; i++ {
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -71,7 +71,7 @@
 
 // learn lets an engine answer with a pace.
 func (b *bench) learn(engine string, pace time.Duration) {
-	b.r.backends[engine].learnPace(pace)
+	b.r.backends[engine].learnInterval(pace)
 }
 
 // A burst of hints fills every engine. A review that comes then must still find a place at each of
@@ -149,11 +149,11 @@
 func TestEnginesOfASilentZoneAreAvoided(t *testing.T) {
 	b := newBench(t, 2)
 	b.r.backends["e0"].Zone = "z1"
-	b.r.backends["e1"].own.counts[0] = 3
+	b.r.backends["e1"].ownLoad.counts[0] = 3
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1}})
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e0", engine)
-	b.now += cutAfter
+	b.now += zoneTimeout
 	engine, _ = b.submit(urgent, 0, 10)
 	require.Equal(t, "e1", engine)
 }
@@ -291,7 +291,7 @@
 	b := newBench(t, 2)
 	e0 := b.r.backends["e0"]
 	e0.Zone = "z1"
-	b.r.backends["e1"].own.counts[0] = 5 + headroom
+	b.r.backends["e1"].ownLoad.counts[0] = 5 + headroom
 	hear := func(seq uint64) {
 		b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: seq}})
 	}
@@ -326,7 +326,7 @@
 func TestPlacesToWaitFollowTheEngine(t *testing.T) {
 	b := newBench(t, 1)
 	e0 := b.r.backends["e0"]
-	e0.learnPace(20 * time.Millisecond)
+	e0.learnInterval(20 * time.Millisecond)
 	limit := func(slots int, rank float64) int {
 		e0.Slots = slots
 		s := b.r.newSelector(&request{Submit: Submit{Route: urgent, Rank: rank}, service: "m"}, scopeAll)
@@ -338,7 +338,7 @@
 	require.Equal(t, 11+headroom-headroomPerRank, limit(11, 1))
 	require.Equal(t, 64+headroom, limit(64, 0))
 	for i := 0; i < 100; i++ {
-		e0.learnPace(time.Second)
+		e0.learnInterval(time.Second)
 	}
 	require.Equal(t, 1, limit(1, 0))
 }
--- a/internal/router/predict.go
+++ b/internal/router/predict.go
@@ -12,7 +12,7 @@
 	switch {
 	case b.Zone == s.r.opt.Zone:
 		return wait
-	case s.r.relaying():
+	case s.r.largeFleet():
 		return wait * crossZonePenaltyLarge
 	default:
 		return wait * crossZonePenalty
@@ -31,7 +31,7 @@
 	if s.q.Route.Kind != routing.Streaming || s.q.PromptTok == 0 {
 		return time.Duration(held+1) * pace
 	}
-	read := b.read
+	read := b.prefillPerToken
 	if read == 0 {
 		read = s.svc.usualRead()
 	}
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -31,13 +31,13 @@
 // those that are heard. Views that differ for a moment make it two.
 func (r *Router) tries(d quarantine.Digest) bool {
 	purpose := "tries " + d.String()
-	mine := rank(r.opt.Zone, purpose)
+	mine := roleScore(r.opt.Zone, purpose)
 	for _, zone := range r.otherZones() {
-		if !r.zoneSilent(zone) && rank(zone, purpose) < mine {
+		if !r.zoneUnreachable(zone) && roleScore(zone, purpose) < mine {
 			return false
 		}
 	}
-	return r.duty(purpose, 1)
+	return r.hasRole(purpose, 1)
 }
 
 // refuseQuarantined ends a request that is in quarantine: truly as not run where it has not.
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -320,12 +320,12 @@
 		ok, _ := q.Admit(b.now, 10, b.r.ownPart())
 		require.True(t, ok)
 	}
-	require.Len(t, b.r.spentToTell(), workspaces, "all have changed")
+	require.Len(t, b.r.spentToSend(), workspaces, "all have changed")
 	named := map[string]int{}
-	for range spentSums {
-		b.r.zones.sumsTold++
-		list := b.r.spentToTell()
-		require.LessOrEqual(t, len(list), workspaces/spentSums+1)
+	for range spentResendSummaries {
+		b.r.zones.summariesSent++
+		list := b.r.spentToSend()
+		require.LessOrEqual(t, len(list), workspaces/spentResendSummaries+1)
 		for _, s := range list {
 			named[s.Workspace]++
 		}
@@ -334,7 +334,7 @@
 	ok, _ := b.r.quotas["w123"].Admit(b.now, 10, b.r.ownPart())
 	require.True(t, ok)
 	names := []string{}
-	for _, s := range b.r.spentToTell() {
+	for _, s := range b.r.spentToSend() {
 		names = append(names, s.Workspace)
 	}
 	require.Contains(t, names, "w123")
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -64,13 +64,13 @@
 // ownPart is the part of a host that decides for itself only, zonePart that of one that decides for the hosts of its zone that it
 // hears.
 func (r *Router) ownPart() limit.Scope {
-	known, heard := r.census()
+	known, heard := r.countHosts()
 	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(heard) / float64(known)}
 }
 
 func (r *Router) zonePart() limit.Scope {
 	p := r.ownPart()
-	_, p.Members = r.directCensus()
+	_, p.Members = r.countDirectHosts()
 	return p
 }
 
--- a/internal/router/reading.go
+++ b/internal/router/reading.go
@@ -41,11 +41,11 @@
 // cut off from it, several times as many read after each readAlone: all hosts of a large zone that listed the store at once
 // cost more than the readers do in a day.
 func (r *Router) decideReading() {
-	if !r.zones.decided && r.now < r.zones.firstRead {
+	if !r.zones.readingDecided && r.now < r.zones.firstRead {
 		return
 	}
 	others, listing := 0, 0
-	for _, h := range r.zoneMates() {
+	for _, h := range r.zonePeers() {
 		switch m := r.members.byHost[h]; {
 		case m.leaving:
 		case m.readsStore:
@@ -55,20 +55,20 @@
 		}
 	}
 	if others+listing >= fewestReaders {
-		r.zones.readerAt = r.now
+		r.zones.readersSeenAt = r.now
 	}
-	on := !r.relaying() || r.duty("reads the store", r.readersNow())
-	if r.updates.reading && r.zones.decided && others < readers {
+	on := !r.largeFleet() || r.hasRole("reads the store", r.readersNow())
+	if r.updates.reading && r.zones.readingDecided && others < readers {
 		on = true // until others have taken over
 	}
-	shared := on && r.relaying()
-	if on == r.updates.reading && shared == r.zones.shared && r.zones.decided {
+	shared := on && r.largeFleet()
+	if on == r.updates.reading && shared == r.zones.shared && r.zones.readingDecided {
 		return
 	}
 	if on && !r.updates.reading {
 		r.updates.listedAt, r.updates.failed = r.now, false
 	}
-	r.zones.decided = true
+	r.zones.readingDecided = true
 	r.zones.shared = shared
 	r.updates.reading = on
 	if !on {
@@ -81,7 +81,7 @@
 // readersNow is how many hosts of the zone read the store by now.
 func (r *Router) readersNow() int {
 	n := readers
-	for waits := (r.now - r.zones.readerAt) / readAlone; waits > 0 && n < maxReaders; waits-- {
+	for waits := (r.now - r.zones.readersSeenAt) / readAlone; waits > 0 && n < maxReaders; waits-- {
 		n *= moreReaders
 	}
 	return n
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -20,7 +20,7 @@
 		if ch.Revision.After(b.revision) || (ch.Foreign && ch.Revision == b.revision) {
 			r.remove(b, ch)
 		}
-	case !ch.Revision.After(b.goneAt):
+	case !ch.Revision.After(b.removedRevision):
 		// A removal came later than this.
 	case ch.Start == 0 && b.Start > 0:
 		// A start that is known by its moment always tells it: something else has written.
@@ -34,7 +34,7 @@
 	case ch.Start > b.Start:
 		r.restart(b, ch)
 	case ch.Start == b.Start && r.isCopyOfGone(b, ch):
-		b.revision, b.goneAt = ch.Revision, ch.Revision
+		b.revision, b.removedRevision = ch.Revision, ch.Revision
 	case ch.Start == b.Start && ch.Revision.After(b.revision):
 		r.update(b, ch)
 	}
@@ -44,8 +44,8 @@
 // backend server went: the store has come back from a copy that is older than its going, which is no word of its being
 // back. A backend server that lives writes anew, and gets another number.
 func (r *Router) isCopyOfGone(b *backend, ch routing.BackendChange) bool {
-	wentBefore := b.removed && ch.Revision.Era > b.goneAt.Era
-	return wentBefore && ch.Revision.Number == b.listed.Number
+	wentBefore := b.removed && ch.Revision.Era > b.removedRevision.Era
+	return wentBefore && ch.Revision.Number == b.registeredRevision.Number
 }
 
 // nameStart notes which start of a backend server is known, so that others' words of it are found.
@@ -59,7 +59,7 @@
 // index finds a backend server by its name in beats from now on, and takes what others have told of it.
 func (r *Router) index(b *backend) {
 	r.byHash[b.hash] = b
-	b.others, b.saidDead, b.saidFailing = r.othersAt(b.hash), r.saidDeadAt(b.hash), r.saidFailingAt(b.hash)
+	b.othersLoad, b.saidDead, b.saidFailing = r.othersLoadAt(b.hash), r.deadReportsFor(b.hash), r.saidFailingAt(b.hash)
 }
 
 // join takes a backend server that was not known.
@@ -82,7 +82,7 @@
 
 func (r *Router) add(ch routing.BackendChange) {
 	b := newBackend(ch.Backend)
-	b.revision, b.listed = ch.Revision, ch.Revision
+	b.revision, b.registeredRevision = ch.Revision, ch.Revision
 	r.updates.changes++
 	r.backends[ch.ID] = b
 	r.index(b)
@@ -147,7 +147,7 @@
 	b.evacuated = r.evacuated(ch.Zone)
 	r.setCold(b, ch.Cold, "registration")
 	r.owners.valid = r.owners.valid && !b.removed
-	b.Backend, b.revision, b.listed, b.removed = ch.Backend, ch.Revision, ch.Revision, false
+	b.Backend, b.revision, b.registeredRevision, b.removed = ch.Backend, ch.Revision, ch.Revision, false
 	delete(r.tombstones, b.ID)
 	r.updates.prints += b.print()
 	if moved {
@@ -166,23 +166,23 @@
 // overwritten is not: nothing there says that it lives.
 func (r *Router) remove(b *backend, ch routing.BackendChange) {
 	r.forgetPrint(b)
-	b.revision, b.goneAt = ch.Revision, ch.Revision
+	b.revision, b.removedRevision = ch.Revision, ch.Revision
 	if ch.Foreign {
-		b.doubtUntil = 0
+		b.usableUntil = 0
 	}
 	if b.removed {
 		return
 	}
 	r.updates.changes++
-	b.removed, b.removedAt, b.doubtUntil = true, r.now, 0
+	b.removed, b.removedAt, b.usableUntil = true, r.now, 0
 	r.tombstones[b.ID] = b
 	r.owners.valid = false
 	if !b.Draining && !ch.Foreign && (r.updates.lost || r.now-r.updates.backAt < outageEcho) {
-		b.doubtUntil = r.now + doubtFor
+		b.usableUntil = r.now + doubtFor
 	}
-	if !b.Draining && !b.leaving && !ch.Foreign && b.doubtUntil == 0 {
+	if !b.Draining && !b.leaving && !ch.Foreign && b.usableUntil == 0 {
 		r.backendEnded(b)
 	}
-	r.emit(Note{What: "backend server gone", Subject: b.ID, Detail: fmt.Sprintf("%s doubt=%t foreign=%t", b.Service, b.doubtUntil > 0, ch.Foreign)})
+	r.emit(Note{What: "backend server gone", Subject: b.ID, Detail: fmt.Sprintf("%s doubt=%t foreign=%t", b.Service, b.usableUntil > 0, ch.Foreign)})
 	r.emit(BackendGone{b.Backend})
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -92,7 +92,7 @@
 
 // admitted sends a request on that its workspace's quota has room for.
 func (r *Router) admitted(q *request) {
-	r.budgetOf(q.service).Earn(r.now, r.hosts())
+	r.budgetOf(q.service).Earn(r.now, r.hostCount())
 	r.dispatch(q)
 }
 
@@ -136,10 +136,10 @@
 	q.runs++
 	q.sentAt = r.now
 	r.spendCold(b)
-	b.own.counts[q.bucket()]++
+	b.ownLoad.counts[q.bucket()]++
 	q.queued = b.inFlight() > b.Slots || 2*b.unread(r.now) > q.PromptTok
 	q.unread = q.PromptTok
-	b.own.prefillBacklog += q.unread
+	b.ownLoad.prefillBacklog += q.unread
 	r.loadChanged()
 	r.reportAssigned(q)
 	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, MaxIdleConns: r.keep(b), At: r.now, Basis: g})
@@ -160,7 +160,7 @@
 	if s == nil || s.MaxConns == 0 {
 		return keepMost
 	}
-	return max(1, min(keepMost, int(keepShare*float64(s.MaxConns))/r.hosts()))
+	return max(1, min(keepMost, int(keepShare*float64(s.MaxConns))/r.hostCount()))
 }
 
 // grounds are those of any decision: by which news it is made.
@@ -242,7 +242,7 @@
 	case Answered:
 		b.succeeded(q.sentAt)
 		pace := paceOf(q, e)
-		b.learnPace(pace)
+		b.learnInterval(pace)
 		svc := r.serviceNamed(b.Service)
 		svc.learnPace(pace)
 		svc.learnEvents(e.Events)
@@ -271,7 +271,7 @@
 	if reached {
 		q.rejects++
 	}
-	if q.rejects >= maxRejects || q.attempt >= maxSends || r.now >= q.Deadline || (reached && !r.budgetOf(q.service).Spend(r.now, r.hosts())) {
+	if q.rejects >= maxRejects || q.attempt >= maxSends || r.now >= q.Deadline || (reached && !r.budgetOf(q.service).Spend(r.now, r.hostCount())) {
 		r.refuse(q, r.grounds())
 		return
 	}
@@ -285,7 +285,7 @@
 	if e.Delivered && q.Route.Kind != routing.Streaming {
 		allowed = false
 	}
-	if allowed && (q.prepaid || r.budgetOf(q.service).Spend(r.now, r.hosts())) {
+	if allowed && (q.prepaid || r.budgetOf(q.service).Spend(r.now, r.hostCount())) {
 		q.prepaid = false
 		if b, _ := r.selectBackend(q); b != nil {
 			r.dispatch(q)
@@ -311,7 +311,7 @@
 		q.tried = append(q.tried[:len(q.tried):len(q.tried)], q.backend.ID)
 		b, _ := r.selectBackend(q)
 		q.tried = held
-		move = b != nil && r.budgetOf(q.service).Spend(r.now, r.hosts())
+		move = b != nil && r.budgetOf(q.service).Spend(r.now, r.hostCount())
 	}
 	q.prepaid = move
 	r.emit(StallDecision{ID: id, Reassign: move})
@@ -319,7 +319,7 @@
 
 // promptDone takes a request's prompt out of what its backend server has still to read.
 func (q *request) promptDone() {
-	q.backend.own.prefillBacklog -= q.unread
+	q.backend.ownLoad.prefillBacklog -= q.unread
 	q.unread = 0
 }
 
@@ -330,7 +330,7 @@
 	}
 	r.reportEnded(q, e)
 	p := q.bucket()
-	own := &q.backend.own
+	own := &q.backend.ownLoad
 	own.counts[p]--
 	q.promptDone()
 	r.loadChanged()
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -61,10 +61,10 @@
 	effects := b.post(DispatchEnded{ID: first, Outcome: Broken, Fault: true})
 	require.Equal(t, GiveUp{ID: first, Cause: BackendLost, DeliverFailure: true}, effects[0], "whether it ran is unknown")
 	require.Zero(t, next.failures)
-	require.Zero(t, next.own.total())
+	require.Zero(t, next.ownLoad.total())
 	engine, _ := b.submit(hint, 2, 10)
 	require.Equal(t, "e0", engine)
-	require.Equal(t, 1, next.own.total())
+	require.Equal(t, 1, next.ownLoad.total())
 }
 
 // A write of the earlier start reaches the store after the first one of the new start, or a peer that was
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -158,7 +158,7 @@
 	case ChargeResponseReceived:
 		r.chargeAnswered(e.From, e.Charged)
 	case RelayReceived:
-		r.takeZones(r.opt.Zone, e.Relay.Zones)
+		r.applyZoneSummaries(r.opt.Zone, e.Relay.Zones)
 	case Update:
 		r.takeNews(e)
 	case StoreStatus:
@@ -211,16 +211,16 @@
 	r.expireCharges()
 	if r.now >= r.maintenanceAt {
 		r.runMaintenance()
-		if r.relaying() {
+		if r.largeFleet() {
 			r.maintenanceAt = r.now + maintenanceInterval
 		}
 	}
 	if r.updates.withheld {
 		r.announce()
 	}
-	r.relaySums()
+	r.relaySummaries()
 	r.tellOccupancy()
-	r.sendZoneSums()
+	r.sendZoneSummaries()
 	if r.now >= r.heartbeatAt || (r.now < r.quotaLowUntil && r.now >= r.quotaLowHeartbeatAt) {
 		r.sendBeats()
 	}
--- a/internal/router/said.go
+++ b/internal/router/said.go
@@ -22,7 +22,7 @@
 		return
 	}
 	if e.Leaving {
-		b.saidLeaving = true
+		b.announcedLeaving = true
 		r.markLeaving(b, r.opt.Host)
 	}
 	if e.HoldOff > 0 {
@@ -45,17 +45,17 @@
 func (r *Router) stayAway(b *backend, d time.Duration) {
 	spread := time.Duration(r.rng.Float64() * min(awaySpread*float64(d), float64(awaySpreadMost)))
 	until := r.now + d + spread
-	if until <= b.awayUntil {
+	if until <= b.holdOffUntil {
 		return
 	}
-	b.awayUntil = until
+	b.holdOffUntil = until
 	b.avoidUntil = max(b.avoidUntil, until)
 	r.emit(Note{What: "backend server wants nothing for a time", Subject: b.ID, Detail: d.String()})
 }
 
 // ownLeaving are the backend servers that have told this host that they leave.
 func (r *Router) ownLeaving() []uint32 {
-	return r.leavingOf(func(b *backend) bool { return b.saidLeaving })
+	return r.leavingOf(func(b *backend) bool { return b.announcedLeaving })
 }
 
 // zoneLeaving are those that this host knows of at all, for other zones.
@@ -81,8 +81,8 @@
 func (r *Router) backAt(service string) time.Duration {
 	var at time.Duration
 	for _, b := range r.backendsOf(service) {
-		if b.barred(r.now) == away && !b.removed && (at == 0 || b.awayUntil < at) {
-			at = b.awayUntil
+		if b.excluded(r.now) == holdingOff && !b.removed && (at == 0 || b.holdOffUntil < at) {
+			at = b.holdOffUntil
 		}
 	}
 	return at
--- a/internal/router/said_test.go
+++ b/internal/router/said_test.go
@@ -119,7 +119,7 @@
 	r.Reduce(later, DispatchEnded{ID: 3, Outcome: Answered, First: time.Millisecond})
 	require.False(t, r.backends["a"].onProbation())
 	r.Reduce(later, BackendAnnouncement{ID: "a", HoldOff: 1000 * time.Hour})
-	require.LessOrEqual(t, r.backends["a"].awayUntil, later+awayMost+awaySpreadMost)
+	require.LessOrEqual(t, r.backends["a"].holdOffUntil, later+awayMost+awaySpreadMost)
 }
 
 // Hosts that were turned away at the same moment come back at unlike ones.
@@ -128,7 +128,7 @@
 	moments := map[time.Duration]bool{}
 	for _, h := range z.hosts {
 		h.r.Reduce(z.now, BackendAnnouncement{ID: "e000", HoldOff: 4 * time.Second})
-		moments[h.r.backends["e000"].awayUntil.Round(50*time.Millisecond)] = true
+		moments[h.r.backends["e000"].holdOffUntil.Round(50*time.Millisecond)] = true
 	}
 	require.Greater(t, len(moments), 4)
 }
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -24,7 +24,7 @@
 // speed is what is observed of an engine.
 type speed struct{ interval, read time.Duration }
 
-func (b *backend) speed() speed { return speed{b.interval, b.read} }
+func (b *backend) speed() speed { return speed{b.interval, b.prefillPerToken} }
 
 // differs tells whether a speed is worth telling to those who know another.
 func (s speed) differs(told speed) bool {
@@ -67,10 +67,10 @@
 	if q.backend.samples == 0 {
 		r.serviceNamed(q.service).learnPace(e.Interval)
 	}
-	q.backend.learnPace(e.Interval)
+	q.backend.learnInterval(e.Interval)
 }
 
-func (b *backend) learnRead(read time.Duration) { b.read = learned(b.read, read) }
+func (b *backend) learnRead(read time.Duration) { b.prefillPerToken = learned(b.prefillPerToken, read) }
 
 func learned(known, seen time.Duration) time.Duration {
 	switch {
@@ -87,17 +87,17 @@
 func (r *Router) newSpeeds() []*gossippb.Speed {
 	var out []*gossippb.Speed
 	for _, b := range r.allBackends() {
-		if b.removed || b.samples == 0 || !b.speed().differs(b.told) {
+		if b.removed || b.samples == 0 || !b.speed().differs(b.reportedSpeed) {
 			continue
 		}
-		b.told = b.speed()
+		b.reportedSpeed = b.speed()
 		out = append(out, b.speedMessage())
 	}
 	return out
 }
 
 func (b *backend) speedMessage() *gossippb.Speed {
-	return &gossippb.Speed{Backend: b.hash, IntervalUs: uint32(b.interval.Microseconds()), ReadNs: uint32(b.read.Nanoseconds())}
+	return &gossippb.Speed{Backend: b.hash, IntervalUs: uint32(b.interval.Microseconds()), ReadNs: uint32(b.prefillPerToken.Nanoseconds())}
 }
 
 // takeSpeed takes the word of a backend server's owner, which hears of all requests there.
@@ -106,7 +106,7 @@
 		b.interval = pace
 	}
 	if read := time.Duration(s.ReadNs); read > 0 && read <= mostRead {
-		b.read = read
+		b.prefillPerToken = read
 	}
 }
 
@@ -120,8 +120,8 @@
 		if b.samples == 0 {
 			b.interval = time.Duration(s.IntervalUs) * time.Microsecond
 		}
-		if read := time.Duration(s.ReadNs); b.read == 0 && read <= mostRead {
-			b.read = read
+		if read := time.Duration(s.ReadNs); b.prefillPerToken == 0 && read <= mostRead {
+			b.prefillPerToken = read
 		}
 	}
 }
@@ -129,12 +129,12 @@
 // unread is how many prompt tokens an engine is believed to have still to read. What others told is
 // worked off since.
 func (b *backend) unread(now time.Duration) int {
-	others, at := b.others.prefillBacklog, b.toldAt
-	if b.fromOwner {
-		others, at = b.ownersWord.prefillBacklog, b.ownersWordAt
+	others, at := b.othersLoad.prefillBacklog, b.othersReportedAt
+	if b.useOwnerReport {
+		others, at = b.ownerReport.prefillBacklog, b.ownerReportedAt
 	}
-	if others > 0 && b.read > 0 {
-		others = max(0, others-int((now-at)/b.read))
+	if others > 0 && b.prefillPerToken > 0 {
+		others = max(0, others-int((now-at)/b.prefillPerToken))
 	}
-	return b.own.prefillBacklog + others
+	return b.ownLoad.prefillBacklog + others
 }
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -23,8 +23,8 @@
 // speedy is a fast engine that reads a thousand tokens in 10 ms, and one that takes five times as long.
 func speedy(t *testing.T) *bench {
 	b := newBench(t, 2)
-	b.r.backends["e0"].interval, b.r.backends["e0"].read, b.r.backends["e0"].samples = 11*time.Millisecond, 10*time.Microsecond, 1
-	b.r.backends["e1"].interval, b.r.backends["e1"].read, b.r.backends["e1"].samples = 55*time.Millisecond, 50*time.Microsecond, 1
+	b.r.backends["e0"].interval, b.r.backends["e0"].prefillPerToken, b.r.backends["e0"].samples = 11*time.Millisecond, 10*time.Microsecond, 1
+	b.r.backends["e1"].interval, b.r.backends["e1"].prefillPerToken, b.r.backends["e1"].samples = 55*time.Millisecond, 50*time.Microsecond, 1
 	return b
 }
 
@@ -67,7 +67,7 @@
 	b.post(StreamStarted{ID: 1, First: 60 * time.Millisecond})
 	b.post(StreamProgress{ID: 1, Interval: 55 * time.Millisecond})
 	e0 := b.r.backends["e0"]
-	require.Equal(t, 60*time.Microsecond, e0.read)
+	require.Equal(t, 60*time.Microsecond, e0.prefillPerToken)
 	require.Equal(t, 55*time.Millisecond, e0.interval)
 	require.Equal(t, "e1", b.prompt(1000))
 
@@ -76,7 +76,7 @@
 		Loads: []*gossippb.Load{{Backend: e0.hash, InFlight: counts{1}.pack(), Unread: 2000}, {Backend: b.r.backends["e1"].hash, Unread: 9000}}}})
 	require.Equal(t, "e0", b.prompt(1000))
 	b.post(StreamStarted{ID: b.next, First: 800 * time.Millisecond})
-	require.Equal(t, 60*time.Microsecond, e0.read)
+	require.Equal(t, 60*time.Microsecond, e0.prefillPerToken)
 }
 
 // What one host has learned the others hear, once, and only those that have not observed the engine
@@ -104,8 +104,8 @@
 	other := newBench(t, 2)
 	other.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1, Speeds: told}})
 	require.Equal(t, 55*time.Millisecond, other.r.backends["e0"].interval)
-	require.Equal(t, 60*time.Microsecond, other.r.backends["e0"].read)
-	other.r.backends["e0"].learnPace(11 * time.Millisecond)
+	require.Equal(t, 60*time.Microsecond, other.r.backends["e0"].prefillPerToken)
+	other.r.backends["e0"].learnInterval(11 * time.Millisecond)
 	kept := other.r.backends["e0"].interval
 	other.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 2, Speeds: told}})
 	require.Equal(t, kept, other.r.backends["e0"].interval)
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -93,7 +93,7 @@
 func TestStartInALargeFleetWaitsForTheOthers(t *testing.T) {
 	inForce := func(list []Effect) bool { return len(effectsOf[ConfigActivated](list)) > 0 }
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
-	for i := 0; i <= fullMesh; i++ {
+	for i := 0; i <= maxFullMesh; i++ {
 		r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
 	n := Update{Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
@@ -114,15 +114,15 @@
 	for i := 2; i <= 10; i++ {
 		r.Reduce(time.Millisecond, HeartbeatReceived{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: 1}})
 	}
-	for i := 0; i <= fullMesh; i++ {
+	for i := 0; i <= maxFullMesh; i++ {
 		r.learnHost(fmt.Sprintf("10.0.%d.1", 1+i), fmt.Sprintf("z%d", 1+i%3))
 	}
-	require.Equal(t, 4*10, r.hosts())
+	require.Equal(t, 4*10, r.hostCount())
 	r.Reduce(2*time.Millisecond, HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1,
 		Zones: []*gossippb.ZoneSum{{Zone: "z1", Speaker: "10.0.1.1", Incarnation: 1, Seq: 1, Hosts: 30}}}})
-	require.Equal(t, 10+30+2*10, r.hosts())
-	r.now = unheardFor
-	require.Equal(t, 10+30, r.hosts())
+	require.Equal(t, 10+30+2*10, r.hostCount())
+	r.now = zoneDiscoveryDuration
+	require.Equal(t, 10+30, r.hostCount())
 }
 
 // startingFleet is a fleet of some zones whose hosts all start together and read a store that answers a listing after a while.
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -74,11 +74,11 @@
 	if b.Draining || b.leaving || b.removed {
 		return
 	}
-	if len(b.broken) < maxBroken {
-		b.broken = append(b.broken, run)
+	if len(b.brokenRuns) < maxBroken {
+		b.brokenRuns = append(b.brokenRuns, run)
 	}
-	if e.Outcome == Broken && r.now >= b.checkedUntil {
-		b.checkedUntil = r.now + confirmFor
+	if e.Outcome == Broken && r.now >= b.probedUntil {
+		b.probedUntil = r.now + confirmFor
 		r.emit(Probe{Backend: b.Backend, MaxIdleConns: r.keep(b)})
 	}
 }
@@ -98,10 +98,10 @@
 	}
 	if e.Reached {
 		// What broke before did not end it, whatever becomes of it later: those who are refused for that would be innocent.
-		b.broken = nil
+		b.brokenRuns = nil
 	}
 	if !e.Refused {
-		b.checkedUntil = r.now
+		b.probedUntil = r.now
 		return
 	}
 	b.refused(r.now)
@@ -111,8 +111,8 @@
 // backendEnded takes that a backend server has ended without leaving: what was in flight there is under suspicion.
 func (r *Router) backendEnded(b *backend) {
 	b.ended = true
-	broken := b.broken
-	b.broken = nil
+	broken := b.brokenRuns
+	b.brokenRuns = nil
 	for _, run := range broken {
 		if r.now-run.at <= confirmFor {
 			r.sawEnd(b, run)
@@ -171,7 +171,7 @@
 
 // allSuspects are all requests that are known, if this host is to tell its zone of them now.
 func (r *Router) allSuspects() []*quarantinepb.Suspect {
-	if r.now < r.suspects.allAt || !r.Suspects() || !r.duty("tells suspects", tellers) {
+	if r.now < r.suspects.allAt || !r.Suspects() || !r.hasRole("tells suspects", tellers) {
 		return nil
 	}
 	r.suspects.allAt = r.now + quarantine.FullInterval
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -59,7 +59,7 @@
 	}
 	for _, b := range r.allBackends() {
 		v.Backends = append(v.Backends, BackendView{b.ID, b.Service, b.Zone, b.Addr, b.state(r.now), r.ownerOf(b),
-			b.own.total(), b.believedOthers().total(), b.Slots, b.interval})
+			b.ownLoad.total(), b.loadOfOthers().total(), b.Slots, b.interval})
 	}
 	for _, c := range r.suspects.ledger.Quarantined() {
 		v.Quarantined = append(v.Quarantined, QuarantineView{c.Digest.String(), c.Workspace, len(c.Ends), r.now - c.Ends[len(c.Ends)-1].At, max(0, c.TrialAt()-r.now)})
@@ -70,7 +70,7 @@
 
 // state words what is believed of a backend server.
 func (b *backend) state(now time.Duration) string {
-	if why := b.barred(now); why != free {
+	if why := b.excluded(now); why != notExcluded {
 		return string(why)
 	}
 	switch {
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -312,9 +312,9 @@
 func TestZonesWithoutSeedsFindEachOther(t *testing.T) {
 	z := newZones(t, 6, 20, 20)
 	for _, h := range z.hosts {
-		require.Len(t, h.r.zoneMates(), 19, "%s", h.ip)
-		require.Equal(t, 6*20, h.r.hosts(), "%s", h.ip)
-		require.Equal(t, z.byIP[h.r.zoneMates()[0]].r.ownShards(), h.r.ownShards(), "%s", h.ip)
+		require.Len(t, h.r.zonePeers(), 19, "%s", h.ip)
+		require.Equal(t, 6*20, h.r.hostCount(), "%s", h.ip)
+		require.Equal(t, z.byIP[h.r.zonePeers()[0]].r.ownShards(), h.r.ownShards(), "%s", h.ip)
 	}
 }
 
@@ -461,15 +461,15 @@
 	asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 	b := z.byIP[owner].r.byHash[offers[0].Place.Backend]
 	require.Equal(t, 1, b.inFlight())
-	require.Equal(t, 1000, b.others.prefillBacklog)
+	require.Equal(t, 1000, b.othersLoad.prefillBacklog)
 	pass := func(list []Effect) {
 		for _, rep := range reportsOf(list) {
 			z.byIP[owner].r.Reduce(z.now, ReportReceived{asker.ip, rep})
 		}
 	}
 	pass(asker.r.Reduce(z.now, StreamStarted{ID: z.next, First: 20 * time.Millisecond}))
-	require.Zero(t, b.others.prefillBacklog)
-	require.Equal(t, 20*time.Microsecond, b.read)
+	require.Zero(t, b.othersLoad.prefillBacklog)
+	require.Equal(t, 20*time.Microsecond, b.prefillPerToken)
 	pass(asker.r.Reduce(z.now, DispatchEnded{ID: z.next, Outcome: Answered, Interval: 12 * time.Millisecond, Events: 20}))
 	require.Zero(t, b.inFlight())
 	require.Equal(t, 12*time.Millisecond, b.interval)
