--- a/internal/core/claim.go
+++ b/internal/core/claim.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// claimRetryInterval repeats an unanswered claim; claimTimeout gives it up.
+	// claimRetryInterval is when an unanswered claim is repeated, claimTimeout when it fails.
 	claimRetryInterval = 300 * time.Millisecond
 	claimTimeout       = 2 * time.Second
 )
 
-// claimHolder names one try of one caller: a second try has another request id.
+// claimHolder identifies one attempt of a caller: a retry has another request ID.
 func (c *Core) claimHolder(r *request) string { return c.opt.Self.ID + "/" + r.ID }
 
-// claim asks the ticket's home for the one permission to run. Nothing is dispatched without it.
+// claim requests the ticket's claim from its home, the only permission to run. Nothing is dispatched
+// without it.
 func (c *Core) claim(r *request) {
 	r.phase = claiming
 	r.requestedAt = c.now
@@ -26,7 +27,7 @@
 		return
 	}
 	if !c.sendClaim(r) {
-		c.finish(r, fault.New(fault.TicketHomeGone, "host %s is unknown here", r.Ticket.Home))
+		c.finish(r, fault.New(fault.TicketHomeGone, "the ticket's home, host %s, is not known to this host", r.Ticket.Home))
 		return
 	}
 	c.setTimer(r, c.now+claimRetryInterval)
@@ -39,14 +40,14 @@
 
 func (c *Core) retryClaim(r *request) {
 	if c.now-r.requestedAt >= claimTimeout {
-		c.finish(r, fault.New(fault.TicketHomeGone, "host %s does not answer", r.Ticket.Home))
+		c.finish(r, fault.New(fault.TicketHomeGone, "the ticket's home, host %s, does not answer", r.Ticket.Home))
 		return
 	}
 	c.sendClaim(r)
 	c.setTimer(r, c.now+claimRetryInterval)
 }
 
-// claimTicket answers as a home.
+// claimTicket answers a claim as the home of the ticket.
 func (c *Core) claimTicket(from string, m *peerpb.ClaimTicket) {
 	verdict := ticket.Expired
 	if t, err := ticket.Parse(m.Ticket); err == nil {
@@ -67,20 +68,20 @@
 func (c *Core) claimDecided(r *request, v ticket.Verdict) {
 	switch v {
 	case ticket.Granted:
-		c.trace(r, "holds its ticket")
+		c.trace(r, "holds the claim on its ticket")
 		c.requestSlot(r)
 	case ticket.InProgress:
-		c.finish(r, fault.New(fault.TicketInProgress, "an earlier try holds the ticket"))
+		c.finish(r, fault.New(fault.TicketInProgress, "an earlier attempt holds the ticket"))
 	case ticket.Done:
-		c.finish(r, fault.New(fault.TicketDone, "the ticket's work ran"))
+		c.finish(r, fault.New(fault.TicketDone, "the request with this ticket has already run"))
 	case ticket.OtherIncarnation:
-		c.finish(r, fault.New(fault.TicketHomeGone, "host %s was replaced since it issued the ticket", r.Ticket.Home))
+		c.finish(r, fault.New(fault.TicketHomeGone, "host %s has been replaced since it issued the ticket", r.Ticket.Home))
 	default:
 		c.finish(r, fault.New(fault.TicketExpired, "the ticket is older than %s", ticket.TTL))
 	}
 }
 
-// sendSettlement tells the home how a claim ended.
+// sendSettlement reports to the home how a claim ended.
 func (c *Core) sendSettlement(r *request, notRun bool) {
 	if r.Ticket.Home == c.opt.Self.ID {
 		c.tickets.Settle(*r.Ticket, r.Workspace, c.claimHolder(r), notRun)
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -66,14 +66,14 @@
 // the zone peers.
 func (c *Core) applyRecords(raws []record.Raw, fromPlatform bool) {
 	before := c.conf.Revision()
-	fresh := c.conf.Apply(raws)
+	applied := c.conf.Apply(raws)
 	c.inv.Check(c.conf.Revision() >= before, "configuration went back from revision %d to %d", before, c.conf.Revision())
-	if len(fresh) == 0 {
+	if len(applied) == 0 {
 		return
 	}
 	if fromPlatform {
 		for _, h := range c.view.ZonePeers() {
-			c.sendRecords(h.ID, fresh)
+			c.sendRecords(h.ID, applied)
 		}
 	}
 	c.emit(ConfigChanged{})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -98,8 +98,8 @@
 		c.submit(e)
 	case CallerGone:
 		c.callerGone(e.ID)
-	case Ended:
-		c.ended(e)
+	case DispatchEnded:
+		c.dispatchEnded(e)
 	case PeerMessage:
 		c.receive(e)
 	case PeerLinked:
--- a/internal/core/digest.go
+++ b/internal/core/digest.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	// zoneReporters is how many hosts of a zone speak to each other zone.
+	// zoneReporters is the number of hosts per zone that report to each other zone, and of hosts there
+	// that they report to.
 	zoneReporters = 2
-	// Zones tell each other of their load and configuration less often the more there are, so that
-	// the bytes per host stay level.
+	// The interval between digests grows with the number of zones, so that the bytes per host stay
+	// constant.
 	digestIntervalPerZone = 200 * time.Millisecond
 	minDigestInterval     = 500 * time.Millisecond
 	maxDigestInterval     = 2 * time.Second
-	// digestTTL is when another zone's word no longer counts.
+	// digestTTL is the age at which a digest of another zone is ignored.
 	digestTTL = 3 * maxDigestInterval
 )
 
-// zoneState is the latest word of another zone.
+// zoneState is the latest digest of another zone and the time at which it was received.
 type zoneState struct {
 	digest *peerpb.ZoneDigest
 	at     time.Duration
 }
 
-// sendDigests tells other zones of this one. Two hosts a zone speak to each other zone, to two
-// hosts there that change with time, so that a dead one costs one beat.
+// sendDigests sends digests of this zone to the other zones. The receivers change with time, so that a
+// dead receiver costs one digest only.
 func (c *Core) sendDigests() {
 	zones := c.view.OtherZones()
 	c.gossip.digestInterval = min(max(time.Duration(len(zones))*digestIntervalPerZone, minDigestInterval), maxDigestInterval)
@@ -54,7 +55,8 @@
 	return member.Top(fmt.Sprintf("digest/%s/%d", c.opt.Self.ID, turn), ids, zoneReporters)
 }
 
-// zoneSummaries gives one row a service: the group with the most room speaks for the zone.
+// zoneSummaries returns one summary per service, sorted by service: that of the group with the most free
+// slots.
 func (c *Core) zoneSummaries() []*peerpb.ServiceSummary {
 	best := map[string]*peerpb.ServiceSummary{}
 	consider := func(s *peerpb.ServiceSummary, scheduler string) {
@@ -90,7 +92,7 @@
 	return out
 }
 
-// zoneDigest keeps the newest word of another zone and relays it inside this one.
+// zoneDigest keeps the latest digest of another zone and relays it within this zone.
 func (c *Core) zoneDigest(from string, d *peerpb.ZoneDigest) {
 	if d.Zone == c.opt.Self.Zone || d.Zone == "" {
 		return
@@ -106,7 +108,7 @@
 	}
 	c.reconcileConfig(from, d.ConfigRevision, d.ConfigDigest)
 	if ok && c.now-old.at < c.gossip.digestInterval/2 {
-		return // another host has just relayed this zone's word
+		return // another host has just relayed a digest of this zone
 	}
 	relay := &peerpb.ZoneDigest{Zone: d.Zone, Sequence: d.Sequence, Origin: d.Origin, Groups: d.Groups,
 		ConfigRevision: d.ConfigRevision, ConfigDigest: d.ConfigDigest, Suspects: d.Suspects, Relayed: true}
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -135,13 +135,13 @@
 		return c.drainingFault()
 	}
 	if !c.gossip.synced {
-		return fault.New(fault.NotReady, "host %s has no proved configuration", c.opt.Self.ID)
+		return fault.New(fault.NotReady, "host %s has no configuration that is known to be current", c.opt.Self.ID)
 	}
 	if _, taken := c.entry.requests[e.ID]; taken {
-		return fault.New(fault.TicketInProgress, "request %s is being served", e.ID)
+		return fault.New(fault.TicketInProgress, "request %s is already in progress", e.ID)
 	}
 	if len(c.entry.requests) >= c.opt.MaxRequests {
-		return fault.New(fault.Overloaded, "host %s holds %d requests", c.opt.Self.ID, c.opt.MaxRequests)
+		return fault.New(fault.Overloaded, "host %s is at its limit of %d requests", c.opt.Self.ID, c.opt.MaxRequests)
 	}
 	return c.checkRate(e.Workspace)
 }
@@ -154,23 +154,23 @@
 		return nil
 	}
 	share := min(1, rateSlack/float64(c.view.FleetSize()))
-	part := rate.Limit(w.Rate * share)
+	hostRate := rate.Limit(w.Rate * share)
 	burst := max(1, int(float64(w.Burst)*share))
 	l, ok := c.entry.rateLimiters[workspace]
 	if !ok {
-		l = rate.NewLimiter(part, burst)
+		l = rate.NewLimiter(hostRate, burst)
 		c.entry.rateLimiters[workspace] = l
 	}
 	at := time.Unix(0, int64(c.now))
-	if l.Limit() != part || l.Burst() != burst {
-		l.SetLimitAt(at, part)
+	if l.Limit() != hostRate || l.Burst() != burst {
+		l.SetLimitAt(at, hostRate)
 		l.SetBurstAt(at, burst)
 	}
 	if l.AllowN(at, 1) {
 		return nil
 	}
-	back := time.Duration(float64(time.Second) / float64(part))
-	return fault.New(fault.RateLimited, "workspace %s is over its rate of %g a second", workspace, w.Rate).WithRetryAfter(max(back, 100*time.Millisecond))
+	retryAfter := time.Duration(float64(time.Second) / float64(hostRate))
+	return fault.New(fault.RateLimited, "workspace %s is over its limit of %g requests per second", workspace, w.Rate).WithRetryAfter(max(retryAfter, 100*time.Millisecond))
 }
 
 // grant handles the permission to dispatch. The sent mark is set here, before the effect leaves the
@@ -187,9 +187,9 @@
 		return
 	}
 	spec, usable := c.usable(m.Backend)
-	until := time.Duration(m.EchoMs+uint64(m.LeaseMs)) * time.Millisecond
-	if !usable || m.EchoIncarnation != c.opt.Incarnation || c.now > until || !c.catchUp.sentAfterPause(m.EchoMs) {
-		c.trace(r, "grant on %s came too late, was of before a pause or for a leaving backend server", m.Backend)
+	validUntil := time.Duration(m.EchoMs+uint64(m.LeaseMs)) * time.Millisecond
+	if !usable || m.EchoIncarnation != c.opt.Incarnation || c.now > validUntil || !c.catchUp.sentAfterPause(m.EchoMs) {
+		c.trace(r, "grant for backend server %s rejected: expired, sent before a pause of this host, or the server is leaving", m.Backend)
 		c.returnGrant(from, m)
 		c.backOff(r)
 		return
@@ -208,7 +208,7 @@
 	r.sent, r.phase, r.backend = true, dispatched, m.Backend
 	c.trace(r, "dispatched to %s", m.Backend)
 	c.setTimer(r, r.deadline)
-	c.emit(Dispatch{ID: r.ID, Attempt: r.attempt, Backend: spec, ValidUntil: min(until, r.deadline), Resume: r.resume,
+	c.emit(Dispatch{ID: r.ID, Attempt: r.attempt, Backend: spec, ValidUntil: min(validUntil, r.deadline), Resume: r.resume,
 		Scheduler: from, At: c.now})
 }
 
@@ -235,7 +235,7 @@
 	if !ok || r.phase != waitingForSlot || r.attempt != m.Attempt || r.target.scheduler != from {
 		return
 	}
-	c.trace(r, "%s refused: %s", from, m.Kind)
+	c.trace(r, "scheduler %s refused: %s", from, m.Kind)
 	kind := fault.Kind(m.Kind)
 	if kind == fault.Moved {
 		c.backOff(r)
@@ -258,12 +258,12 @@
 	if !ok || !r.isRunning() || r.attempt != m.Attempt || r.target.scheduler != from {
 		return
 	}
-	c.trace(r, "suspending on %s for more urgent work", r.backend)
+	c.trace(r, "suspending on %s for a request of higher priority", r.backend)
 	r.phase = suspending
 	c.emit(Suspend{r.ID})
 }
 
-func (c *Core) ended(e Ended) {
+func (c *Core) dispatchEnded(e DispatchEnded) {
 	r, ok := c.entry.requests[e.ID]
 	if !ok || !r.isRunning() || r.attempt != e.Attempt {
 		return
@@ -272,7 +272,7 @@
 	c.recordOutcome(r, e)
 	switch e.Outcome {
 	case Done:
-		c.trace(r, "answered whole by %s", r.backend)
+		c.trace(r, "complete answer from %s", r.backend)
 		c.finish(r, nil)
 	case Suspended:
 		r.resume = true
@@ -294,7 +294,7 @@
 // notSent clears the sent mark: the connection was refused, so the request cannot have started. The retry
 // budget prevents a retry storm when many servers refuse at the same time.
 func (c *Core) notSent(r *request) {
-	c.trace(r, "%s refused the connection: not sent", r.backend)
+	c.trace(r, "backend server %s refused the connection: request not sent", r.backend)
 	if !r.resume {
 		r.sent = false
 	}
@@ -307,7 +307,7 @@
 	c.requestSlot(r)
 }
 
-func (c *Core) sendRelease(r *request, e Ended) {
+func (c *Core) sendRelease(r *request, e DispatchEnded) {
 	c.send(r.target.scheduler, &peerpb.Message{Body: &peerpb.Message_Release{Release: &peerpb.Release{
 		Request:         r.number,
 		Attempt:         r.attempt,
@@ -346,11 +346,11 @@
 func (c *Core) finishAll() {
 	for _, r := range c.requestsWhere(func(*request) bool { return true }) {
 		if r.isRunning() {
-			c.sendRelease(r, Ended{Outcome: Canceled})
+			c.sendRelease(r, DispatchEnded{Outcome: Canceled})
 		}
 		c.abandon(r)
 		if r.sent {
-			c.finish(r, fault.New(fault.Stopped, "host %s ended with the request in hand", c.opt.Self.ID))
+			c.finish(r, fault.New(fault.Stopped, "host %s stopped while the request was in progress", c.opt.Self.ID))
 		} else {
 			c.finish(r, c.drainingFault())
 		}
@@ -372,7 +372,7 @@
 		return
 	}
 	if f != nil {
-		c.inv.Check(f.Ran != fault.NotRun || !r.sent, "request %s called not run after its dispatch", r.ID)
+		c.inv.Check(f.Ran != fault.NotRun || !r.sent, "request %s reported as not run after its dispatch", r.ID)
 		c.trace(r, "ended: %s", f.Kind)
 	}
 	c.entry.timers.Remove(r.heapIndex)
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -39,8 +39,8 @@
 // CallerGone reports that the caller has closed its connection.
 type CallerGone struct{ ID string }
 
-// Ended reports the end of a dispatch, as seen by the traffic side.
-type Ended struct {
+// DispatchEnded reports the end of a dispatch, as seen by the traffic side.
+type DispatchEnded struct {
 	ID         string
 	Attempt    uint32
 	Outcome    Outcome
@@ -129,7 +129,7 @@
 func (Tick) event()            {}
 func (Submit) event()          {}
 func (CallerGone) event()      {}
-func (Ended) event()           {}
+func (DispatchEnded) event()   {}
 func (PeerMessage) event()     {}
 func (PeerLinked) event()      {}
 func (PeerUnlinked) event()    {}
--- a/internal/core/group.go
+++ b/internal/core/group.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// acquire handles a request for a grant. A host that does not schedule the group says so: the
-// asking host then looks for the current scheduler.
+// acquire handles a slot request. If this host does not schedule the group it answers Moved, and the
+// requesting host looks for the current scheduler.
 func (c *Core) acquire(from string, m *peerpb.Acquire) {
 	k := GroupKey{m.Service, m.Shard}
 	g, ok := c.groups[k]
@@ -100,8 +100,8 @@
 	c.decide(k, g.UpdateHoldings(c.now, from, held))
 }
 
-// confirmHeld compares what an entry host says it runs here with what this host believes, and asks
-// for the full list where they differ. A group that the host does not name must hold nothing of it.
+// confirmHeld compares the digests of what an entry host runs with this host's record, and requests the
+// full list where they differ. A group that the entry host does not list must have no runs of it.
 func (c *Core) confirmHeld(from string, held []*peerpb.HeldDigest) {
 	for _, k := range c.groupKeys() {
 		count, digest := 0, uint64(0)
@@ -117,7 +117,7 @@
 	}
 }
 
-// decide turns the decisions of a group into messages to the entry hosts.
+// decide sends the decisions of a group to the entry hosts.
 func (c *Core) decide(k GroupKey, decisions []sched.Decision) {
 	for _, d := range decisions {
 		switch d := d.(type) {
--- a/internal/core/guards_test.go
+++ b/internal/core/guards_test.go
@@ -16,8 +16,8 @@
 	"fireflyshift/internal/sched"
 )
 
-// lone is one reducer that a test speaks to message by message. Host "peer" schedules its groups.
-type lone struct {
+// singleHost is one reducer that a test speaks to message by message. Host "peer" schedules its groups.
+type singleHost struct {
 	t    *testing.T
 	core *core.Core
 	now  time.Duration
@@ -28,12 +28,12 @@
 	peerIncarnation = 9
 )
 
-func newLone(t *testing.T, records ...record.Raw) *lone {
-	l := &lone{t: t, now: time.Second}
+func newSingleHost(t *testing.T, records ...record.Raw) *singleHost {
+	l := &singleHost{t: t, now: time.Second}
 	l.core = core.New(core.Options{Self: member.Host{ID: "self", Zone: "z", Addr: "a"}, Incarnation: selfIncarnation,
 		Sched: sched.DefaultOptions(), MaxRequests: 100})
 	l.feed(core.PeerLinked{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}, Incarnation: peerIncarnation})
-	l.beat()
+	l.heartbeat()
 	base := []record.Raw{
 		{Kind: record.KindService, Name: service, Schema: 1, Revision: 1, Body: []byte(`{"kind":"plain"}`)},
 		backendRecord("b0", 2, "active"),
@@ -47,23 +47,23 @@
 		Body: []byte(fmt.Sprintf(`{"service":%q,"zone":"z","addr":"10.0.0.1:80","slots":4,"state":%q}`, service, state))}
 }
 
-func (l *lone) feed(e core.Event) []core.Effect {
+func (l *singleHost) feed(e core.Event) []core.Effect {
 	l.t.Helper()
 	out := l.core.Reduce(l.now, e)
 	require.Empty(l.t, l.core.Violations())
 	return out
 }
 
-func (l *lone) beat() {
+func (l *singleHost) heartbeat() {
 	l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{SentMs: uint64(l.now / time.Millisecond)}}})
 }
 
-func (l *lone) message(m *peerpb.Message) []core.Effect {
+func (l *singleHost) message(m *peerpb.Message) []core.Effect {
 	return l.feed(core.PeerMessage{From: "peer", Incarnation: peerIncarnation, Message: m})
 }
 
 // submit sends a request and returns what the peer is asked.
-func (l *lone) submit(id string) *peerpb.Acquire {
+func (l *singleHost) submit(id string) *peerpb.Acquire {
 	l.t.Helper()
 	effects := l.feed(core.Submit{ID: id, Workspace: "w", Service: service, Priority: 1, Deadline: time.Minute, OutputTokens: 1})
 	for _, e := range effects {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func (l *lone) grant(a *peerpb.Acquire, backend string, echo time.Duration, incarnation uint64) []core.Effect {
+func (l *singleHost) grant(a *peerpb.Acquire, backend string, echo time.Duration, incarnation uint64) []core.Effect {
 	return l.message(&peerpb.Message{Body: &peerpb.Message_Grant{Grant: &peerpb.Grant{Request: a.Request, Attempt: a.Attempt,
 		Backend: backend, LeaseMs: 2000, EchoMs: uint64(echo / time.Millisecond), EchoIncarnation: incarnation}}})
 }
@@ -103,18 +103,18 @@
 // A process is paused with a grant in its socket buffer and wakes up seconds later. By then others
 // count the lease as ended, and the server may have been given away or told to leave.
 func TestGrantThatWaitedOutAPauseIsNotUsed(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	a := l.submit("r")
 	echo := l.now
 	l.now += 3 * time.Second
-	l.beat()
+	l.heartbeat()
 	require.Empty(t, dispatches(l.grant(a, "b0", echo, selfIncarnation)))
 }
 
 // The scheduler sends a grant just before it hears that a server leaves; this host has heard it
 // already. The server must get no new work from here.
 func TestGrantThatCrossedTheNewsOfLeavingIsNotUsed(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	a := l.submit("r")
 	l.feed(core.PlatformRecords{Records: []record.Raw{backendRecord("b0", 3, "leaving")}, Current: true})
 	require.Empty(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)))
@@ -122,7 +122,7 @@
 
 // The host list alone shows a server's machine leaving; its record is not changed.
 func TestGrantOnAMachineThatTheHostListShowsLeaving(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	a := l.submit("r")
 	l.feed(core.HostList{Hosts: []core.ListedHost{{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}},
 		{Host: member.Host{ID: "m", Addr: "10.0.0.1:80", Leaving: true}, Backend: true}}})
@@ -132,11 +132,11 @@
 // A host was replaced under the same name. A grant meant for its forerunner, or for an attempt that
 // it has given up, would be a dispatch that nobody counts.
 func TestGrantForAnotherIncarnationOrAttempt(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	a := l.submit("r")
 	require.Empty(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation+1)))
 	l.now += time.Second
-	l.beat()
+	l.heartbeat()
 	l.feed(core.Tick{})
 	old := &peerpb.Acquire{Request: a.Request, Attempt: a.Attempt}
 	require.Empty(t, dispatches(l.grant(old, "b0", l.now, selfIncarnation)), "the attempt was given up")
@@ -145,7 +145,7 @@
 // The scheduler repeats a grant, since an answer may have been lost. The work must not be sent
 // twice.
 func TestRepeatedGrantIsDispatchedOnce(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	a := l.submit("r")
 	require.Len(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)), 1)
 	require.Empty(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)))
@@ -154,7 +154,7 @@
 // A process that was replaced wakes up and its old links still deliver. What it says is of the
 // past: it must change nothing.
 func TestMessageOfAReplacedProcessIsDropped(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	a := l.submit("r")
 	l.feed(core.PeerLinked{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}, Incarnation: peerIncarnation + 1})
 	require.Empty(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)))
@@ -163,14 +163,14 @@
 // All servers of a service refuse connections for a while. Every request tries again at once and
 // at once again, and the network is full of tries; the retry budget ends them after a share.
 func TestRetryBudgetEndsARetryStorm(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	tries, refused := 0, 0
 	for i := 0; i < 90; i++ {
 		a := l.submit(fmt.Sprint("r", i))
 		for a != nil {
 			require.Len(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)), 1)
 			tries++
-			effects := l.feed(core.Ended{ID: fmt.Sprint("r", i), Attempt: a.Attempt, Outcome: core.NotSent})
+			effects := l.feed(core.DispatchEnded{ID: fmt.Sprint("r", i), Attempt: a.Attempt, Outcome: core.NotSent})
 			a = nil
 			for _, e := range effects {
 				if s, ok := e.(core.Send); ok && s.Message.GetAcquire() != nil {
@@ -192,7 +192,7 @@
 func TestPartitionDoesNotMultiplyARate(t *testing.T) {
 	workspace := record.Raw{Kind: record.KindWorkspace, Name: "w", Schema: 1, Revision: 9, Body: []byte(
 		`{"key_sha256":["` + fmt.Sprintf("%064d", 1) + `"],"tiers":["t"],"limits":{"requests_per_second":40,"burst":40}}`)}
-	l := newLone(t, workspace)
+	l := newSingleHost(t, workspace)
 	list := core.HostList{}
 	for i := 0; i < 8; i++ {
 		list.Hosts = append(list.Hosts, core.ListedHost{Host: member.Host{ID: fmt.Sprint("h", i), Zone: "other", Addr: "x"}})
@@ -214,12 +214,12 @@
 // after all and refuses. The caller was told "overloaded" while tags still ran at home: the request
 // has to come back and wait, or displace, where it belongs.
 func TestRequestRefusedByAnotherZoneComesBack(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	l.feed(core.HostList{Hosts: []core.ListedHost{{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}},
 		{Host: member.Host{ID: "far", Zone: "y", Addr: "f"}}}})
-	crowded := &peerpb.ServiceSummary{Service: service, Waiting: 10, LowestRunning: 1}
+	overcommitted := &peerpb.ServiceSummary{Service: service, Waiting: 10, LowestRunning: 1}
 	l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{
-		SentMs: uint64(l.now / time.Millisecond), Groups: []*peerpb.ServiceSummary{crowded}}}})
+		SentMs: uint64(l.now / time.Millisecond), Groups: []*peerpb.ServiceSummary{overcommitted}}}})
 	l.message(&peerpb.Message{Body: &peerpb.Message_ZoneDigest{ZoneDigest: &peerpb.ZoneDigest{Zone: "y", Origin: "far", Sequence: 1,
 		Relayed: true, Groups: []*peerpb.ServiceSummary{{Service: service, Scheduler: "far", Free: 5}}}}})
 	a := l.submit("r")
@@ -228,14 +228,14 @@
 	effects := l.feed(core.PeerMessage{From: "far", Incarnation: 3, Message: &peerpb.Message{Body: &peerpb.Message_Refusal{
 		Refusal: &peerpb.Refusal{Request: a.Request, Attempt: a.Attempt, Kind: string(fault.Overloaded)}}}})
 	require.Len(t, effects, 1)
-	home, ok := effects[0].(core.Send)
+	reacquired, ok := effects[0].(core.Send)
 	require.True(t, ok, "%+v", effects[0])
-	require.Equal(t, "peer", home.To.ID)
-	require.False(t, home.Message.GetAcquire().Spilled)
+	require.Equal(t, "peer", reacquired.To.ID)
+	require.False(t, reacquired.Message.GetAcquire().Spilled)
 }
 
-// farView tells a lone host of another zone that serves the test's service.
-func (l *lone) farView(s *peerpb.ServiceSummary) {
+// learnRemoteZone tells a lone host of another zone that serves the test's service.
+func (l *singleHost) learnRemoteZone(s *peerpb.ServiceSummary) {
 	l.t.Helper()
 	l.feed(core.HostList{Hosts: []core.ListedHost{{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}},
 		{Host: member.Host{ID: "far", Zone: "y", Addr: "f"}}, {Host: member.Host{ID: "far2", Zone: "y", Addr: "f2"}}}})
@@ -243,8 +243,8 @@
 		Sequence: uint64(l.now / time.Millisecond), Relayed: true, Groups: []*peerpb.ServiceSummary{s}}}})
 }
 
-// asked lists the hosts that a request is sent to by effects.
-func asked(effects []core.Effect) []string {
+// acquireTargets lists the hosts that a request is sent to by effects.
+func acquireTargets(effects []core.Effect) []string {
 	var out []string
 	for _, e := range effects {
 		if s, ok := e.(core.Send); ok && s.Message.GetAcquire() != nil {
@@ -257,32 +257,32 @@
 // The scheduler of the other zone is dead, and the news of it is seconds old. The caller's request
 // was asked for there again and again until its deadline, with free servers at home.
 func TestRequestToASilentZoneComesBack(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{SentMs: uint64(l.now / time.Millisecond),
 		Groups: []*peerpb.ServiceSummary{{Service: service, Waiting: 10}}}}})
-	l.farView(&peerpb.ServiceSummary{Service: service, Scheduler: "far", Free: 5})
+	l.learnRemoteZone(&peerpb.ServiceSummary{Service: service, Scheduler: "far", Free: 5})
 	require.True(t, l.submit("r").Spilled)
 	l.now += 600 * time.Millisecond
-	l.beat()
-	require.Equal(t, []string{"peer"}, asked(l.feed(core.Tick{})))
+	l.heartbeat()
+	require.Equal(t, []string{"peer"}, acquireTargets(l.feed(core.Tick{})))
 }
 
 // Only another zone has servers of a service, and they are busy. A buyer's request must wait there
 // as it would at home; it was refused as if no server existed.
 func TestServiceThatOnlyAnotherZoneHas(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	l.feed(core.PlatformRecords{Records: []record.Raw{{Kind: record.KindBackend, Name: "b0", Schema: 1, Revision: 20, Deleted: true}}, Current: true})
-	l.farView(&peerpb.ServiceSummary{Service: service, Scheduler: "far", Free: 0, Waiting: 3})
+	l.learnRemoteZone(&peerpb.ServiceSummary{Service: service, Scheduler: "far", Free: 0, Waiting: 3})
 	a := l.submit("r")
 	require.False(t, a.Spilled, "it may wait there")
 	l.now += 1100 * time.Millisecond
-	l.beat()
-	l.farView(&peerpb.ServiceSummary{Service: service, Scheduler: "far2", Free: 0, Waiting: 3})
-	require.Equal(t, []string{"far2"}, asked(l.feed(core.Tick{})), "it follows the duty to the next host")
+	l.heartbeat()
+	l.learnRemoteZone(&peerpb.ServiceSummary{Service: service, Scheduler: "far2", Free: 0, Waiting: 3})
+	require.Equal(t, []string{"far2"}, acquireTargets(l.feed(core.Tick{})), "it follows the duty to the next host")
 }
 
-// zoneMates are hosts beside which this host is not one of the zone's readers of the platform.
-func zoneMates() []string {
+// nonReaderPeers are hosts beside which this host is not one of the zone's readers of the platform.
+func nonReaderPeers() []string {
 	others := []string{"r0", "r1", "r2", "r3"}
 	for i := 4; slices.Contains(member.Top("reader/z", append([]string{"self", "peer"}, others...), 2), "self"); i++ {
 		others = append(others[1:], fmt.Sprint("r", i))
@@ -290,8 +290,8 @@
 	return append(others, "peer")
 }
 
-// beatOf brings a heartbeat of each host.
-func (l *lone) beatOf(hosts []string, readsPlatform bool) {
+// heartbeatsFrom brings a heartbeat of each host.
+func (l *singleHost) heartbeatsFrom(hosts []string, readsPlatform bool) {
 	l.t.Helper()
 	for _, h := range hosts {
 		l.feed(core.PeerLinked{Host: member.Host{ID: h, Zone: "z", Addr: "x"}, Incarnation: peerIncarnation})
@@ -303,12 +303,12 @@
 // Both hosts of a zone that watch the platform are answered by a stale copy of it, and say truly that
 // they reach it. No host would hear of a change for as long as that lasts; each takes a turn.
 func TestEveryHostTakesATurnAtThePlatform(t *testing.T) {
-	l := newLone(t)
-	others := zoneMates()
+	l := newSingleHost(t)
+	others := nonReaderPeers()
 	turns := 0
 	for i := 0; i < 32*5; i++ { // six hosts take a turn of 4 s each
 		l.now += 200 * time.Millisecond
-		l.beatOf(others, true)
+		l.heartbeatsFrom(others, true)
 		for _, e := range l.feed(core.Tick{}) {
 			if r, ok := e.(core.ReadPlatform); ok && r.On && r.After > 0 {
 				turns++
@@ -321,25 +321,25 @@
 // A dispatch was proved not sent and the request waits again, when the traffic side's word on the
 // old attempt comes a second time. The caller would get an answer that nobody gave.
 func TestLateWordOnAnOldAttemptChangesNothing(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	a := l.submit("r")
 	require.Len(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)), 1)
-	l.feed(core.Ended{ID: "r", Attempt: a.Attempt, Outcome: core.NotSent})
-	require.Empty(t, l.feed(core.Ended{ID: "r", Attempt: a.Attempt, Outcome: core.Done}))
+	l.feed(core.DispatchEnded{ID: "r", Attempt: a.Attempt, Outcome: core.NotSent})
+	require.Empty(t, l.feed(core.DispatchEnded{ID: "r", Attempt: a.Attempt, Outcome: core.Done}))
 	require.Equal(t, 1, l.core.Requests())
 }
 
 // The hosts that watch the platform are cut off from it. For as long as nobody says that he reaches
 // it, every host has to try for itself, within seconds and not in its turn.
 func TestHostReadsWhenNobodyElseDoes(t *testing.T) {
-	l := newLone(t)
-	others := zoneMates()
-	l.beatOf(others, true)
+	l := newSingleHost(t)
+	others := nonReaderPeers()
+	l.heartbeatsFrom(others, true)
 	l.feed(core.Tick{})
 	on := false
 	for i := 0; i < 15; i++ { // three seconds
 		l.now += 200 * time.Millisecond
-		l.beatOf(others, false)
+		l.heartbeatsFrom(others, false)
 		for _, e := range l.feed(core.Tick{}) {
 			if r, ok := e.(core.ReadPlatform); ok {
 				on = r.On && r.After == 0
@@ -353,7 +353,7 @@
 // must ask for what it lacks, or the lost change would never be in force here while the platform is
 // away.
 func TestLostRecordIsAskedFor(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	out := l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{
 		SentMs: uint64(l.now / time.Millisecond), ConfigRevision: 9, ConfigDigest: 12345}}})
 	pulls := 0
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -42,7 +42,7 @@
 		rt.Repeat(actions(w))
 		w.heal()
 		w.advance(15 * time.Second)
-		w.judge()
+		w.checkFinalState()
 		totalSteps += w.steps
 		totalFaults += w.faults
 		totalSheds += w.sheds
@@ -59,10 +59,10 @@
 		return rapid.SliceOfNDistinct(rapid.SampledFrom(w.ids), 1, 6, rapid.ID).Draw(rt, "hosts")
 	}
 	faulty := func(f func(*rapid.T)) func(*rapid.T) {
-		return func(rt *rapid.T) { w.faults++; w.quietAt = w.now; f(rt) }
+		return func(rt *rapid.T) { w.faults++; w.lastFaultAt = w.now; f(rt) }
 	}
-	deaf := func(f func(*rapid.T)) func(*rapid.T) {
-		return faulty(func(rt *rapid.T) { w.hearAt = w.now; f(rt) })
+	outage := func(f func(*rapid.T)) func(*rapid.T) {
+		return faulty(func(rt *rapid.T) { w.lastOutageAt = w.now; f(rt) })
 	}
 	return map[string]func(*rapid.T){
 		"wait": func(rt *rapid.T) {
@@ -99,16 +99,16 @@
 			}
 			w.submit(host(rt), rapid.SampledFrom(ticketed).Draw(rt, "op"), plainService, 2, true)
 		},
-		"kill and replace": deaf(func(rt *rapid.T) {
+		"kill and replace": outage(func(rt *rapid.T) {
 			h := host(rt)
 			w.kill(h)
 			if rapid.Bool().Draw(rt, "at once") {
-				w.boot(h.id, h.zone)
+				w.start(h.id, h.zone)
 			}
 		}),
 		"replace": func(rt *rapid.T) {
 			if h := host(rt); !h.alive {
-				w.boot(h.id, h.zone)
+				w.start(h.id, h.zone)
 			}
 		},
 		"drain": func(rt *rapid.T) {
@@ -116,31 +116,31 @@
 				w.drain(h)
 			}
 		},
-		"stop": deaf(func(rt *rapid.T) {
+		"stop": outage(func(rt *rapid.T) {
 			if h := host(rt); h.alive && !h.paused {
 				w.stop(h)
 			}
 		}),
 		"pause": faulty(func(rt *rapid.T) { host(rt).paused = true }),
-		"wake":  func(rt *rapid.T) { w.wake(host(rt)) },
-		"cut zones": deaf(func(*rapid.T) {
+		"wake":  func(rt *rapid.T) { w.resume(host(rt)) },
+		"cut zones": outage(func(*rapid.T) {
 			w.cut[[2]string{"za", "zb"}], w.cut[[2]string{"zb", "za"}] = true, true
 		}),
-		"cut one way": deaf(func(rt *rapid.T) {
+		"cut one way": outage(func(rt *rapid.T) {
 			if zone(rt) == "za" {
 				w.cut[[2]string{"za", "zb"}] = true
 			} else {
 				w.cut[[2]string{"zb", "za"}] = true
 			}
 		}),
-		"cut inside": deaf(func(rt *rapid.T) { z := zone(rt); w.cut[[2]string{z, z}] = true }),
+		"cut inside": outage(func(rt *rapid.T) { z := zone(rt); w.cut[[2]string{z, z}] = true }),
 		"heal cuts":  func(*rapid.T) { w.cut = map[[2]string]bool{} },
-		"platform down": deaf(func(rt *rapid.T) {
+		"platform down": outage(func(rt *rapid.T) {
 			for _, id := range some(rt) {
 				w.platform.down[id] = true
 			}
 		}),
-		"zone cut from platform": deaf(func(rt *rapid.T) {
+		"zone cut from platform": outage(func(rt *rapid.T) {
 			z := zone(rt)
 			for _, id := range w.ids {
 				if w.hosts[id].zone == z {
@@ -148,7 +148,7 @@
 				}
 			}
 		}),
-		"platform stale": deaf(func(rt *rapid.T) {
+		"platform stale": outage(func(rt *rapid.T) {
 			behind := rapid.IntRange(0, 5).Draw(rt, "behind")
 			for _, id := range some(rt) {
 				w.platform.stale[id] = len(w.platform.log) - behind
@@ -157,8 +157,8 @@
 		"platform back": func(*rapid.T) {
 			w.platform.down, w.platform.stale = map[string]bool{}, map[string]int{}
 		},
-		"server refuses": deaf(func(rt *rapid.T) { b := backend(rt); b.down = !b.down }),
-		"answers lost":   deaf(func(rt *rapid.T) { b := backend(rt); b.lose = !b.lose }),
+		"server refuses": outage(func(rt *rapid.T) { b := backend(rt); b.down = !b.down }),
+		"answers lost":   outage(func(rt *rapid.T) { b := backend(rt); b.losesAnswers = !b.losesAnswers }),
 		"leave":          func(rt *rapid.T) { w.publishBackend(backend(rt).name, true) },
 		"return":         func(rt *rapid.T) { w.publishBackend(backend(rt).name, false) },
 		"delete and publish tier": func(rt *rapid.T) {
--- a/internal/core/duty.go
+++ b/internal/core/roles.go
@@ -153,15 +153,15 @@
 			delete(c.groups, k)
 		}
 	}
-	mine := make([]GroupKey, 0, len(c.roles.schedulers))
+	own := make([]GroupKey, 0, len(c.roles.schedulers))
 	for k, owner := range c.roles.schedulers {
 		if owner == c.opt.Self.ID {
-			mine = append(mine, k)
+			own = append(own, k)
 		}
 	}
-	sortGroupKeys(mine)
+	sortGroupKeys(own)
 	var watch []WatchedEngine
-	for _, k := range mine {
+	for _, k := range own {
 		watch = append(watch, c.refreshGroup(k, specs[k.Service])...)
 	}
 	c.emit(WatchEngines{watch})
@@ -234,8 +234,8 @@
 		}
 	}
 	readers := member.Top("reader/"+c.opt.Self.Zone, c.roles.live, readersPerZone)
-	silent := c.now-c.gossip.peerReadAt > readerTimeoutHeartbeats*c.view.HeartbeatInterval()
-	if silent || slices.Contains(readers, c.opt.Self.ID) {
+	noReader := c.now-c.gossip.peerReadAt > readerTimeoutHeartbeats*c.view.HeartbeatInterval()
+	if noReader || slices.Contains(readers, c.opt.Self.ID) {
 		mode = reading
 	}
 	if mode == c.roles.readMode {
--- a/internal/core/seek.go
+++ b/internal/core/slots.go
@@ -9,17 +9,19 @@
 )
 
 const (
-	// acquireRetryInterval repeats an unanswered Acquire; links are reliable, so it is rarely needed.
+	// acquireRetryInterval is when an unanswered Acquire is repeated. Links are reliable, so that this is
+	// rare.
 	acquireRetryInterval = time.Second
-	// movedBackoff is the wait before the next scheduler is asked, while views converge.
+	// movedBackoff is the wait before another scheduler is asked, while membership views converge.
 	movedBackoff = 50 * time.Millisecond
-	// remoteSlotTimeout is how long another zone may leave a spilled request without an answer.
+	// remoteSlotTimeout is how long another zone may leave a spilled request unanswered.
 	remoteSlotTimeout = 500 * time.Millisecond
-	// maxSpills is how many other zones a request may try.
+	// maxSpills is the maximum number of other zones that a request is sent to.
 	maxSpills = 2
 )
 
-// requestSlot asks a scheduler of this zone for a grant, or one of another zone if this has no server.
+// requestSlot requests a slot from a scheduler of this zone, or of another zone if this one has no backend
+// server for the service.
 func (c *Core) requestSlot(r *request) {
 	k, ok := c.pickGroup(r)
 	if !ok {
@@ -38,7 +40,8 @@
 	c.acquireFrom(r, target{k, owner, c.opt.Self.Zone})
 }
 
-// requestRemoteSlot asks another zone for a service that this one lacks. The request may wait there.
+// requestRemoteSlot requests a slot in another zone for a service without backend servers in this zone.
+// The request may wait there.
 func (c *Core) requestRemoteSlot(r *request) {
 	zone, s := c.pickSpillZone(r, hasAnyServer)
 	if s == nil {
@@ -49,21 +52,22 @@
 	c.acquireFrom(r, target{GroupKey{s.Service, s.Shard}, s.Scheduler, zone})
 }
 
-// retrySlotRequest is for a request that has had no answer for a while. One that waits at home asks again.
-// One in another zone follows the duty there, or comes home: what was asked for there should have
-// started at once, and the news that led there may be of a host that is dead.
+// retrySlotRequest handles a request that has not been answered for a while. In this zone the Acquire is
+// repeated. A request in another zone follows the scheduler role there if this zone cannot serve it.
+// Otherwise it returns to this zone after remoteSlotTimeout: it was spilled because it should start there
+// at once, and the digest that it was spilled on may be from a dead host.
 func (c *Core) retrySlotRequest(r *request) {
 	if r.target.zone == c.opt.Self.Zone {
 		c.sendAcquire(r)
 		return
 	}
 	z, known := c.gossip.zones[r.target.zone]
-	moved := known && !slices.ContainsFunc(z.digest.Groups, func(s *peerpb.ServiceSummary) bool {
+	roleMoved := known && !slices.ContainsFunc(z.digest.Groups, func(s *peerpb.ServiceSummary) bool {
 		return s.Service == r.Service && s.Scheduler == r.target.scheduler
 	})
 	_, servedHere := c.pickGroup(r)
 	switch {
-	case moved && !servedHere:
+	case roleMoved && !servedHere:
 		c.abandon(r)
 		r.triedZones = slices.DeleteFunc(r.triedZones, func(zone string) bool { return zone == r.target.zone })
 		c.requestSlot(r)
@@ -75,8 +79,8 @@
 	}
 }
 
-// pickGroup chooses among the groups of a service: two by hash of workspace and prompt, so that
-// shared prefixes meet again, and of these the one with more room.
+// pickGroup chooses a group of a service. Two candidates follow from a hash of the first prompt block, so
+// that requests with a shared prefix meet in the same groups; the one with more headroom is taken.
 func (c *Core) pickGroup(r *request) (GroupKey, bool) {
 	n := c.roles.shards[r.Service]
 	if n == 0 {
@@ -94,10 +98,11 @@
 	return a, true
 }
 
-// hashMultiplier makes 64 bits of a 32-bit hash.
+// hashMultiplier (2^64 divided by the golden ratio) spreads a 32-bit hash over 64 bits.
 const hashMultiplier = 0x9E3779B97F4A7C15
 
-// locality is equal for requests that share their first prompt block.
+// locality is equal for requests that share their first prompt block. Requests without a prefix are spread
+// by ID.
 func (r *request) locality() uint64 {
 	if len(r.Prefix) > 0 {
 		return uint64(r.Prefix[0]) * hashMultiplier
@@ -105,7 +110,8 @@
 	return hashString(r.ID)
 }
 
-// headroom is free slots less what waits, by the scheduler's latest word.
+// headroom returns the free slots of a group minus its waiting requests, from the latest summary of its
+// scheduler.
 func (c *Core) headroom(k GroupKey) int {
 	if g, ok := c.groups[k]; ok {
 		s := g.Summary(c.now)
@@ -118,22 +124,22 @@
 	return summaryHeadroom(row.ServiceSummary)
 }
 
-// overcommitted tells whether a group has more waiting than it could start soon.
+// overcommitted reports whether a group has more waiting requests than free slots.
 func (c *Core) overcommitted(k GroupKey) bool { return c.headroom(k) < 0 }
 
 func (c *Core) acquireFrom(r *request, t target) {
 	r.phase, r.target, r.requestedAt = waitingForSlot, t, c.now
 	r.attempt++
-	c.trace(r, "asked %s for a slot of %s/%d in %s", t.scheduler, t.group.Service, t.group.Shard, t.zone)
+	c.trace(r, "requested a slot from scheduler %s for group %s/%d in zone %s", t.scheduler, t.group.Service, t.group.Shard, t.zone)
 	c.sendAcquire(r)
 }
 
 func (c *Core) sendAcquire(r *request) {
-	again := acquireRetryInterval
+	retryAfter := acquireRetryInterval
 	if r.target.zone != c.opt.Self.Zone {
-		again = remoteSlotTimeout
+		retryAfter = remoteSlotTimeout
 	}
-	c.setTimer(r, c.now+again)
+	c.setTimer(r, c.now+retryAfter)
 	c.send(r.target.scheduler, &peerpb.Message{Body: &peerpb.Message_Acquire{Acquire: &peerpb.Acquire{
 		Request:       r.number,
 		Attempt:       r.attempt,
@@ -153,39 +159,41 @@
 	}}})
 }
 
-// backOff waits a moment before seeking again.
+// backOff waits for movedBackoff before the request asks for a slot again.
 func (c *Core) backOff(r *request) {
 	r.phase = backingOff
 	c.setTimer(r, c.now+movedBackoff)
 }
 
-// spilledFromOwnZone tells whether a request is asked for in another zone although this one has
-// servers: it must start there at once or not at all.
+// spilledFromOwnZone reports whether a request waits in another zone although this zone has backend
+// servers for it. Such a request must start there at once or be refused.
 func (c *Core) spilledFromOwnZone(r *request) bool {
 	_, servedHere := c.pickGroup(r)
 	return servedHere && r.target.zone != c.opt.Self.Zone
 }
 
-// spillFilter is what another zone must say of itself to be asked.
+// spillFilter reports whether another zone may be asked for a slot, judged by its summary.
 type spillFilter func(r *request, s *peerpb.ServiceSummary) bool
 
-// minFreeSlots of those that a lagging word says are free may be gone.
+// minFreeSlots is the number of free slots that a summary must show: some may have been taken since it was
+// sent.
 const minFreeSlots = 2
 
-// hasFreeSlots is asked for while the request could also wait at home.
+// hasFreeSlots is the filter while the request could also wait in its own zone.
 func hasFreeSlots(_ *request, s *peerpb.ServiceSummary) bool {
 	return s.Free >= minFreeSlots && s.Waiting == 0
 }
 
-// hasFreeOrPreemptibleSlots is asked for before the request is refused: lower work there would make room.
+// hasFreeOrPreemptibleSlots is the filter before a request is refused: runs of a lower priority there
+// could be preempted.
 func hasFreeOrPreemptibleSlots(r *request, s *peerpb.ServiceSummary) bool {
 	return hasFreeSlots(r, s) || (s.LowestRunning > 0 && s.LowestRunning-1 < r.Priority)
 }
 
-// hasAnyServer is asked for where this zone has none.
+// hasAnyServer is the filter if this zone has no backend server for the service.
 func hasAnyServer(*request, *peerpb.ServiceSummary) bool { return true }
 
-// pickSpillZone finds another zone for a request: of those with room, the one with most of it.
+// pickSpillZone picks the other zone with the most headroom among those that pass the filter.
 func (c *Core) pickSpillZone(r *request, enough spillFilter) (string, *peerpb.ServiceSummary) {
 	if r.resume || len(r.triedZones) >= maxSpills {
 		return "", nil
@@ -209,7 +217,7 @@
 	return bestZone, best
 }
 
-// summaryHeadroom is free slots less what waits.
+// summaryHeadroom returns the free slots of a group minus its waiting requests.
 func summaryHeadroom(s *peerpb.ServiceSummary) int { return int(s.Free) - int(s.Waiting) }
 
 func (c *Core) sortedZones() []string {
@@ -226,7 +234,7 @@
 	c.acquireFrom(r, target{GroupKey{s.Service, s.Shard}, s.Scheduler, zone})
 }
 
-// spillOrRefuse tries another zone before it gives a request up.
+// spillOrRefuse tries another zone before it refuses the request.
 func (c *Core) spillOrRefuse(r *request, kind fault.Kind, after time.Duration) {
 	if zone, s := c.pickSpillZone(r, hasFreeOrPreemptibleSlots); s != nil {
 		c.spill(r, zone, s)
@@ -235,11 +243,12 @@
 	c.finish(r, c.refusalFault(r, kind, after))
 }
 
-// refusalFault words a final refusal. Suspended work has run in part, whatever the scheduler says.
+// refusalFault returns the fault of a final refusal. A suspended request has run in part, whatever kind
+// the scheduler gave.
 func (c *Core) refusalFault(r *request, kind fault.Kind, after time.Duration) *fault.Error {
-	f := fault.New(kind, "service %s", r.Service)
+	f := fault.New(kind, "no slot for service %s", r.Service)
 	if r.resume {
-		f = fault.New(fault.Displaced, "the work was suspended and could not go on")
+		f = fault.New(fault.Displaced, "the request was suspended and could not be resumed")
 	}
 	if after > 0 {
 		f = f.WithRetryAfter(after)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -4,7 +4,7 @@
 	"fireflyshift/internal/sched"
 )
 
-// Status is what operators see of a host.
+// Status is the state of a host as shown to operators.
 type Status struct {
 	Host        string        `json:"host"`
 	Zone        string        `json:"zone"`
@@ -22,18 +22,20 @@
 	Groups      []GroupStatus `json:"groups"`
 	Refused     []Refused     `json:"refused_records"`
 	Tickets     int           `json:"ticket_claims"`
-	// Backends are a host's of the users' platform, where each decides alone; empty elsewhere.
+	// Backends are the backend servers as seen by a host of the users' platform, where each host decides
+	// on its own; empty elsewhere.
 	Backends []BackendStatus `json:"beliefs,omitempty"`
-	// StoreAgeMS is how old the latest word of the platform's store is there; -1 where there is none.
+	// StoreAgeMS is the age of the latest update from the platform's store there, -1 if there is none.
 	StoreAgeMS int64 `json:"store_age_ms"`
-	// StoreEra is how often that store has come back from an older copy, as it counts.
+	// StoreEra counts how often that store was restored from an older copy.
 	StoreEra uint64 `json:"store_era,omitempty"`
-	// Quarantined are requests that are kept from backend servers there, Suspects how many are remembered.
+	// Quarantined are the requests that are kept from backend servers there. Suspects is the number of
+	// requests under observation, including these.
 	Quarantined []QuarantineStatus `json:"quarantined,omitempty"`
 	Suspects    int                `json:"suspects,omitempty"`
 }
 
-// QuarantineStatus is a request that is kept from backend servers, as it has ended several of them.
+// QuarantineStatus is a request that is kept from backend servers because it has ended several of them.
 type QuarantineStatus struct {
 	Digest      string `json:"digest"`
 	Workspace   string `json:"workspace"`
@@ -42,7 +44,7 @@
 	NextTrialMS int64  `json:"next_trial_ms"`
 }
 
-// BackendStatus is what a host believes of one backend server.
+// BackendStatus is the state of a backend server as seen by a host.
 type BackendStatus struct {
 	Name       string  `json:"name"`
 	Service    string  `json:"service"`
@@ -56,7 +58,7 @@
 	IntervalMS float64 `json:"interval_ms"`
 }
 
-// PeerStatus is another host as this one sees it.
+// PeerStatus is another host as seen by this one.
 type PeerStatus struct {
 	Host  string `json:"host"`
 	Zone  string `json:"zone"`
@@ -73,7 +75,8 @@
 	Backends []sched.BackendStatus `json:"backends"`
 }
 
-// Refused is a published record that is not in force, and why.
+// Refused is a published record that this host refuses, with the reason and the revision that is in force
+// instead.
 type Refused struct {
 	Record   string `json:"record"`
 	Revision uint64 `json:"revision"`
@@ -81,7 +84,7 @@
 	Reason   string `json:"reason"`
 }
 
-// Status gathers what operators see.
+// Status returns the state of this host for operators.
 func (c *Core) Status() Status {
 	s := Status{
 		Host:        c.opt.Self.ID,
--- a/internal/core/stop_test.go
+++ b/internal/core/stop_test.go
@@ -24,7 +24,7 @@
 
 // Guards against a host that ends without a word to its callers, with an untrue one, or with their slots and tickets kept.
 func TestStopEndsEveryRequestTruly(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	require.Len(t, dispatches(l.grant(l.submit("runs"), "b0", l.now, selfIncarnation)), 1)
 	l.submit("waits")
 	l.feed(core.Submit{ID: "claims", Workspace: "w", Service: service, Deadline: time.Minute, NonIdempotent: true,
@@ -35,7 +35,7 @@
 	require.Equal(t, fault.Stopped, got["runs"].Kind)
 	require.Equal(t, fault.Draining, got["waits"].Kind)
 	require.Equal(t, fault.Draining, got["claims"].Kind)
-	var released, withdrawn, givenBack bool
+	var released, withdrawn, settled bool
 	for _, e := range effects {
 		s, ok := e.(core.Send)
 		if !ok {
@@ -43,9 +43,9 @@
 		}
 		released = released || s.Message.GetRelease() != nil
 		withdrawn = withdrawn || s.Message.GetWithdraw() != nil
-		givenBack = givenBack || s.Message.GetSettleTicket().GetNotRun()
+		settled = settled || s.Message.GetSettleTicket().GetNotRun()
 	}
-	require.True(t, released && withdrawn && givenBack, "%v", effects)
+	require.True(t, released && withdrawn && settled, "%v", effects)
 	late := answers(l.feed(core.Submit{ID: "late", Workspace: "w", Service: service, Deadline: time.Minute}))
 	require.Equal(t, fault.Draining, late["late"].Kind)
 	require.Empty(t, answers(l.feed(core.Stop{})), "each is answered once")
--- a/internal/core/suspects.go
+++ b/internal/core/suspects.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// sameEndWindow is how far apart hosts may see one end of a backend server: it takes longer to start again.
+	// sameEndWindow is the time within which reports of an end of the same backend server count as one
+	// end: hosts see it at different times, and a server takes longer than this to start again.
 	sameEndWindow = 2 * time.Second
-	// suspectReporters are the hosts of a zone that tell it all that is known of suspects.
+	// suspectReporters is the number of hosts per zone that report all known suspects to it.
 	suspectReporters = 2
-	// suspectExpiryInterval paces the forgetting.
+	// suspectExpiryInterval is how often expired suspects are dropped.
 	suspectExpiryInterval = 10 * time.Second
-	// trialTimeout is how long another trial of the same request waits for the outcome of one.
+	// trialTimeout is how long a new trial of a request waits for the outcome of the previous one.
 	trialTimeout = 15 * time.Second
 )
 
@@ -33,22 +34,23 @@
 	return suspectState{ledger: quarantine.NewLedgerForReusedNames(sameEndWindow)}
 }
 
-// recordOutcome takes what the end of a dispatch says of the request itself. The same request in the hands of one backend
-// server after another that ends is most likely what ends them, and its callers repeat it at any host.
-func (c *Core) recordOutcome(r *request, e Ended) {
+// recordOutcome records what the end of a dispatch shows about the request itself. If backend servers end
+// one after the other while they run the same request, the request is most likely the cause, and its
+// callers repeat it at any host.
+func (c *Core) recordOutcome(r *request, e DispatchEnded) {
 	switch {
 	case e.Outcome == Done:
 		c.suspects.ledger.ObserveSuccess(c.now, r.Digest)
 	case e.BackendEnded:
 		end := quarantine.End{Backend: uint32(xxhash.Sum64String(r.backend)), At: c.now}
 		if c.suspects.ledger.Observe(c.now, r.Digest, r.Workspace, end) {
-			c.trace(r, "%s ended while it ran this request, %s", r.backend, r.Digest)
-			c.sendHeartbeats() // others are told at once
+			c.trace(r, "backend server %s ended while it ran this request (digest %s)", r.backend, r.Digest)
+			c.sendHeartbeats() // peers learn of it at once
 		}
 	}
 }
 
-// quarantined refuses a request that is kept from backend servers; nil where it is not.
+// quarantined returns the refusal of a request in quarantine, nil if the request may run.
 func (c *Core) quarantined(r *request) *fault.Error {
 	found := c.suspects.ledger.Blamed(r.Digest)
 	if found == nil || r.onTrial {
@@ -57,14 +59,15 @@
 	return fault.New(fault.Quarantined, "request %s has ended %d backend servers", r.Digest, len(found.Ends)).WithRetryAfter(max(time.Second, found.TrialAt()-c.now))
 }
 
-// allowTrial tells whether a new request in quarantine may run all the same, to show whether it does harm. One host of the fleet
-// lets it run now and then: an innocent one would otherwise be refused for a day.
+// allowTrial reports whether a new request in quarantine may run to find out whether it still ends backend
+// servers. One host of the fleet lets it run now and then; otherwise a harmless request would be refused
+// for a day.
 func (c *Core) allowTrial(d quarantine.Digest) bool {
 	found := c.suspects.ledger.Blamed(d)
 	return found != nil && c.isTrialHost(d) && c.suspects.ledger.TakeTrial(c.now, found, trialTimeout)
 }
 
-// isTrialHost tells whether this host is the one to let a request in quarantine run.
+// isTrialHost reports whether this host is the one of the fleet that runs trials of a request.
 func (c *Core) isTrialHost(d quarantine.Digest) bool {
 	zones := []string{c.opt.Self.Zone}
 	for _, zone := range c.view.OtherZones() {
@@ -76,7 +79,8 @@
 	return member.Owner(purpose, zones) == c.opt.Self.Zone && member.Owner(purpose, c.roles.live) == c.opt.Self.ID
 }
 
-// suspectsToReport are what heartbeats tell of requests: what this host has newly seen, or all where it is to tell that now.
+// suspectsToReport returns the suspects for the next heartbeats: those that this host has newly seen, or
+// all if this host is a suspect reporter and its next full report is due.
 func (c *Core) suspectsToReport() []*quarantinepb.Suspect {
 	if c.now < c.suspects.fullReportAt || !slices.Contains(member.Top("tells suspects", c.roles.live, suspectReporters), c.opt.Self.ID) {
 		return c.suspects.ledger.OwnChanges(c.now)
@@ -85,7 +89,7 @@
 	return c.suspects.ledger.Full(c.now)
 }
 
-// expireSuspects forgets what is old.
+// expireSuspects drops expired suspects.
 func (c *Core) expireSuspects() {
 	if c.now >= c.suspects.expireAt {
 		c.suspects.expireAt = c.now + suspectExpiryInterval
--- a/internal/core/suspects_test.go
+++ b/internal/core/suspects_test.go
@@ -30,7 +30,7 @@
 	return r
 }
 
-func quietWorld(t *testing.T) *world {
+func healthyWorld(t *testing.T) *world {
 	w := newWorld(7, func(format string, args ...any) { require.Fail(t, fmt.Sprintf(format, args...)) })
 	w.deadly = map[string]bool{}
 	w.advance(5 * time.Second)
@@ -41,7 +41,7 @@
 // all hosts refuse it, truly as not run, one that was replaced meanwhile too. After a minute one host lets it run
 // once.
 func TestDeadlyRequestIsRefusedEverywhere(t *testing.T) {
-	w := quietWorld(t)
+	w := healthyWorld(t)
 	hosts := []string{"za-h1", "zb-h1", "za-h2"}
 	for _, id := range hosts {
 		w.sendDeadly(w.hosts[id])
@@ -49,7 +49,7 @@
 	}
 	require.Equal(t, 3, w.deadlyRuns)
 	w.kill(w.hosts["zb-h2"])
-	w.boot("zb-h2", "zb")
+	w.start("zb-h2", "zb")
 	w.advance(3 * time.Second)
 	for _, id := range w.ids {
 		r := w.sendDeadly(w.hosts[id])
@@ -70,7 +70,7 @@
 
 // A request waits for a slot while another host finds out that it is deadly. Its grant must not be used, and goes back.
 func TestWaitingRequestIsFoundOut(t *testing.T) {
-	l := newLone(t)
+	l := newSingleHost(t)
 	effects := l.feed(core.Submit{ID: "r", Workspace: "w", Service: service, Priority: 1, Deadline: time.Minute, OutputTokens: 1, Digest: deadly})
 	var a *peerpb.Acquire
 	for _, e := range effects {
@@ -79,12 +79,12 @@
 		}
 	}
 	require.NotNil(t, a)
-	word := &quarantinepb.Suspect{Digest: deadly[:], Workspace: "w"}
+	suspect := &quarantinepb.Suspect{Digest: deadly[:], Workspace: "w"}
 	for i := range uint32(3) {
-		word.Ends = append(word.Ends, &quarantinepb.BackendEnd{Backend: i, AgeMs: 10})
+		suspect.Ends = append(suspect.Ends, &quarantinepb.BackendEnd{Backend: i, AgeMs: 10})
 	}
 	l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{SentMs: uint64(l.now / time.Millisecond),
-		Suspects: []*quarantinepb.Suspect{word}}}})
+		Suspects: []*quarantinepb.Suspect{suspect}}}})
 	effects = l.grant(a, "b0", l.now, selfIncarnation)
 	require.Empty(t, dispatches(effects))
 	refused, returned := false, false
--- a/internal/core/wake.go
+++ b/internal/core/timers.go
@@ -14,7 +14,7 @@
 	"fireflyshift/internal/sched"
 )
 
-// timerHeap orders requests by the next moment at which time itself is an event for them.
+// timerHeap orders requests by the next time at which they need attention.
 type timerHeap = *indexheap.Heap[*request]
 
 func newTimerHeap() timerHeap {
@@ -29,7 +29,7 @@
 
 func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
-// setTimer sets the next moment to look at a request, its deadline at the latest.
+// setTimer sets the time at which a request next needs attention, at the latest its deadline.
 func (c *Core) setTimer(r *request, at time.Duration) {
 	r.timerAt = min(at, r.deadline)
 	c.entry.timers.Fix(r.heapIndex)
@@ -63,30 +63,30 @@
 	}
 }
 
-// pastDeadline gives the final answer at once. Work that runs is canceled by the traffic side when
-// it sees Finish.
+// pastDeadline gives the final answer at once. The traffic side cancels a running request when it handles
+// Finish.
 func (c *Core) pastDeadline(r *request) {
 	switch {
 	case r.phase == dispatched || r.phase == suspending:
-		c.sendRelease(r, Ended{Outcome: Canceled})
-		c.finish(r, fault.New(fault.DeadlineExceeded, "the deadline passed while %s worked", r.backend))
+		c.sendRelease(r, DispatchEnded{Outcome: Canceled})
+		c.finish(r, fault.New(fault.DeadlineExceeded, "the deadline passed while backend server %s ran the request", r.backend))
 	case r.resume:
 		c.abandon(r)
-		c.finish(r, fault.New(fault.Displaced, "the deadline passed while the work was suspended"))
+		c.finish(r, fault.New(fault.Displaced, "the deadline passed while the request was suspended"))
 	default:
 		c.abandon(r)
-		c.finish(r, fault.New(fault.DeadlineUnmeetable, "no slot came free in time"))
+		c.finish(r, fault.New(fault.DeadlineUnmeetable, "no slot became free before the deadline"))
 	}
 }
 
-// resendAcquires repeats what a cut link may have lost.
+// resendAcquires repeats the Acquires that a broken link may have lost.
 func (c *Core) resendAcquires(host string) {
 	for _, r := range c.requestsWhere(func(r *request) bool { return r.phase == waitingForSlot && r.target.scheduler == host }) {
 		c.sendAcquire(r)
 	}
 }
 
-// updateTargets follows running requests whose backend server is dealt to another group.
+// updateTargets updates the target of running requests whose backend server has moved to another group.
 func (c *Core) updateTargets() {
 	for _, r := range c.entry.requests {
 		k, ok := c.roles.groupOf[r.backend]
@@ -96,7 +96,8 @@
 	}
 }
 
-// schedulerChanged moves what waits for a group to its new scheduler and tells it what runs.
+// schedulerChanged moves the waiting requests of a group to its new scheduler and reports the running ones
+// to it.
 func (c *Core) schedulerChanged(k GroupKey) {
 	moved := c.requestsWhere(func(r *request) bool {
 		return r.target.group == k && r.target.zone == c.opt.Self.Zone && r.target.scheduler != c.roles.schedulers[k]
@@ -133,36 +134,36 @@
 
 func (r *request) isRunning() bool { return r.phase == dispatched || r.phase == suspending }
 
-// sendRemoteHoldings tells the schedulers of other zones what this host runs under them. Those of this
-// zone hear it as a digest in each heartbeat.
+// sendRemoteHoldings reports to the schedulers of other zones what this host runs under them. Those of
+// this zone receive a digest with each heartbeat.
 func (c *Core) sendRemoteHoldings() {
-	now := map[target]bool{}
+	current := map[target]bool{}
 	for _, r := range c.entry.requests {
 		if r.isRunning() && r.target.zone != c.opt.Self.Zone {
-			now[r.target] = true
+			current[r.target] = true
 		}
 	}
-	all := make([]target, 0, len(now))
-	for t := range now {
+	all := make([]target, 0, len(current))
+	for t := range current {
 		all = append(all, t)
 	}
 	for t := range c.entry.reportedTo {
-		if !now[t] {
-			all = append(all, t) // hears of the end once more, in case a Release was lost
+		if !current[t] {
+			all = append(all, t) // one last, empty report in case a Release was lost
 		}
 	}
 	slices.SortFunc(all, func(a, b target) int { return strings.Compare(a.key(), b.key()) })
 	for _, t := range all {
 		c.sendHoldings(t)
 	}
-	c.entry.reportedTo = now
+	c.entry.reportedTo = current
 }
 
 func (t target) key() string {
 	return fmt.Sprintf("%s/%s/%d", t.scheduler, t.group.Service, t.group.Shard)
 }
 
-// heldDigests sums up what this host runs under each group of its own zone.
+// heldDigests returns digests of what this host runs under each group of its own zone.
 func (c *Core) heldDigests() map[GroupKey]*peerpb.HeldDigest {
 	out := map[GroupKey]*peerpb.HeldDigest{}
 	for _, r := range c.entry.requests {
@@ -180,7 +181,7 @@
 	return out
 }
 
-// heldDigestsFor lists, of these, the digests for one scheduler.
+// heldDigestsFor returns the digests for the groups of one scheduler, sorted by group.
 func (c *Core) heldDigestsFor(all map[GroupKey]*peerpb.HeldDigest, scheduler string) []*peerpb.HeldDigest {
 	var keys []GroupKey
 	for k := range all {
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -19,25 +19,25 @@
 // world is a set of small fakes around several reducers: links that keep order but can be cut,
 // backend servers that count runs, a platform that can be down or stale. Time is a number.
 type world struct {
-	fail     func(format string, args ...any)
-	rng      *rand.Rand
-	now      time.Duration
-	hosts    map[string]*fakeHost
-	ids      []string
-	links    map[[2]string][]parcel
-	cut      map[[2]string]bool // pairs of zones, both orders
-	platform fakePlatform
-	backends map[string]*fakeBackend
-	requests map[string]*fakeRequest
-	ops      []*operation
-	seq      int
-	quietAt  time.Duration // latest moment at which a fault was active
-	hearAt   time.Duration // the same without pauses, which excuse nothing that a host does once it is awake
-	newsAt   time.Duration // latest moment at which news could not get everywhere
-	history  []published
-	steps    int
-	faults   int
-	sheds    int
+	fail          func(format string, args ...any)
+	rng           *rand.Rand
+	now           time.Duration
+	hosts         map[string]*fakeHost
+	ids           []string
+	links         map[[2]string][]queuedMessage
+	cut           map[[2]string]bool // pairs of zones, both orders
+	platform      fakePlatform
+	backends      map[string]*fakeBackend
+	requests      map[string]*fakeRequest
+	ops           []*operation
+	seq           int
+	lastFaultAt   time.Duration // latest moment at which a fault was active
+	lastOutageAt  time.Duration // the same without pauses, which excuse nothing that a host does once it is awake
+	lastBlockedAt time.Duration // latest moment at which news could not get everywhere
+	history       []published
+	steps         int
+	faults        int
+	sheds         int
 	// deadly requests end the backend servers that run them, which start again at once; deadlyRuns counts that.
 	deadly     map[string]bool
 	deadlyRuns int
@@ -47,7 +47,7 @@
 	id, zone    string
 	core        *core.Core
 	incarnation uint64
-	bornAt      time.Duration
+	startedAt   time.Duration
 	alive       bool
 	paused      bool
 	reading     bool
@@ -55,13 +55,13 @@
 	tickAt      time.Duration
 	draining    bool
 	inbox       []core.Event // what came while the process was paused
-	late        []func()     // effects that a pause has caught before they were carried out
+	deferred    []func()     // effects that a pause has caught before they were carried out
 	revision    map[record.Key]uint64
 }
 
-func (h *fakeHost) clock(now time.Duration) time.Duration { return now - h.bornAt }
+func (h *fakeHost) clock(now time.Duration) time.Duration { return now - h.startedAt }
 
-type parcel struct {
+type queuedMessage struct {
 	at          time.Duration
 	from        string
 	incarnation uint64
@@ -81,8 +81,8 @@
 	leaving             bool
 	runs                map[string]int
 	running             map[string]time.Duration // request to end
-	left                map[string]time.Duration // suspended work
-	lose                bool                     // answers are lost after the work
+	remaining           map[string]time.Duration // suspended work
+	losesAnswers        bool                     // answers are lost after the work
 }
 
 type fakeRequest struct {
@@ -112,17 +112,17 @@
 }
 
 const (
-	inForceBound = 16 * time.Second
-	modelService = "notes"
-	plainService = "git"
-	leaveBound   = 4 * time.Second
-	shedCalm     = 2 * time.Second
+	inForceTimeout = 16 * time.Second
+	modelService   = "notes"
+	plainService   = "git"
+	leaveTimeout   = 4 * time.Second
+	shedSettleTime = 2 * time.Second
 )
 
 var fakeZones = []string{"za", "zb"}
 
 func newWorld(seed uint64, fail func(string, ...any)) *world {
-	w := &world{fail: fail, rng: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*fakeHost{}, links: map[[2]string][]parcel{},
+	w := &world{fail: fail, rng: rand.New(rand.NewPCG(seed, 1)), hosts: map[string]*fakeHost{}, links: map[[2]string][]queuedMessage{},
 		cut: map[[2]string]bool{}, platform: fakePlatform{down: map[string]bool{}, stale: map[string]int{}},
 		backends: map[string]*fakeBackend{}, requests: map[string]*fakeRequest{}}
 	for i, name := range []string{"low", "mid", "high"} {
@@ -140,7 +140,7 @@
 	}
 	for _, z := range fakeZones {
 		for i := 1; i <= 3; i++ {
-			w.boot(fmt.Sprintf("%s-h%d", z, i), z)
+			w.start(fmt.Sprintf("%s-h%d", z, i), z)
 		}
 	}
 	return w
@@ -156,7 +156,7 @@
 
 func (w *world) addBackend(name, zone, service string) {
 	w.backends[name] = &fakeBackend{name: name, zone: zone, service: service, runs: map[string]int{},
-		running: map[string]time.Duration{}, left: map[string]time.Duration{}}
+		running: map[string]time.Duration{}, remaining: map[string]time.Duration{}}
 	w.publishBackend(name, false)
 }
 
@@ -174,9 +174,9 @@
 		"addr": fmt.Sprintf("10.0.0.%d:80", len(name)), "slots": 2, "state": state, "suspend": b.service == modelService})
 }
 
-// boot starts a host process that knows nothing, as a replaced host does.
-func (w *world) boot(id, zone string) {
-	h := &fakeHost{id: id, zone: zone, alive: true, incarnation: w.rng.Uint64()>>12 | 1, bornAt: w.now, revision: map[record.Key]uint64{}}
+// start starts a host process that knows nothing, as a replaced host does.
+func (w *world) start(id, zone string) {
+	h := &fakeHost{id: id, zone: zone, alive: true, incarnation: w.rng.Uint64()>>12 | 1, startedAt: w.now, revision: map[record.Key]uint64{}}
 	if _, known := w.hosts[id]; !known {
 		w.ids = append(w.ids, id)
 	}
@@ -237,14 +237,14 @@
 	}
 	for _, eff := range effects {
 		if _, changed := eff.(core.ConfigChanged); changed {
-			w.checkForward(h)
+			w.checkRevisions(h)
 		}
-		w.carryOut(h, eff)
+		w.execute(h, eff)
 	}
 }
 
-// checkForward asserts that no record in force ever goes back.
-func (w *world) checkForward(h *fakeHost) {
+// checkRevisions asserts that no record in force ever goes back.
+func (w *world) checkRevisions(h *fakeHost) {
 	for _, r := range h.core.Config().After(0) {
 		if r.Revision < h.revision[r.Key()] {
 			w.fail("host %s: %s went back from %d to %d", h.id, r.Key(), h.revision[r.Key()], r.Revision)
@@ -253,15 +253,15 @@
 	}
 }
 
-func (w *world) carryOut(h *fakeHost, eff core.Effect) {
+func (w *world) execute(h *fakeHost, eff core.Effect) {
 	switch e := eff.(type) {
 	case core.Send:
-		w.post(h, e)
+		w.sendMessage(h, e)
 	case core.Dispatch:
 		// The traffic thread runs a little later; a pause of the process may come in between.
-		w.later(h, func() { w.dispatch(h, e) })
+		w.deferEffect(h, func() { w.dispatch(h, e) })
 	case core.Suspend:
-		w.later(h, func() { w.suspend(h, e.ID) })
+		w.deferEffect(h, func() { w.suspend(h, e.ID) })
 	case core.Finish:
 		w.finish(h, e)
 	case core.ReadPlatform:
@@ -269,11 +269,11 @@
 	}
 }
 
-func (w *world) later(h *fakeHost, f func()) { h.late = append(h.late, f) }
+func (w *world) deferEffect(h *fakeHost, f func()) { h.deferred = append(h.deferred, f) }
 
 func (w *world) reachable(a, b *fakeHost) bool { return !w.cut[[2]string{a.zone, b.zone}] }
 
-func (w *world) post(h *fakeHost, e core.Send) {
+func (w *world) sendMessage(h *fakeHost, e core.Send) {
 	to, ok := w.hosts[e.To.ID]
 	if !ok || !to.alive || !w.reachable(h, to) {
 		return
@@ -283,7 +283,7 @@
 	if q := w.links[k]; len(q) > 0 {
 		at = max(at, q[len(q)-1].at)
 	}
-	w.links[k] = append(w.links[k], parcel{at, h.id, h.incarnation, e.Message})
+	w.links[k] = append(w.links[k], queuedMessage{at, h.id, h.incarnation, e.Message})
 }
 
 // dispatch writes a request to a backend server, as the edge does: not after the lease.
@@ -294,21 +294,21 @@
 	}
 	r.attempt, r.backend = d.Attempt, d.Backend.Name
 	if h.clock(w.now) > d.ValidUntil {
-		w.feed(h, core.Ended{ID: d.ID, Attempt: d.Attempt, Outcome: core.NotSent})
+		w.feed(h, core.DispatchEnded{ID: d.ID, Attempt: d.Attempt, Outcome: core.NotSent})
 		return
 	}
 	b := w.backends[d.Backend.Name]
 	if b.down {
-		w.feed(h, core.Ended{ID: d.ID, Attempt: d.Attempt, Outcome: core.NotSent})
+		w.feed(h, core.DispatchEnded{ID: d.ID, Attempt: d.Attempt, Outcome: core.NotSent})
 		return
 	}
-	since := max(b.leavingAt, w.hearAt)
-	if b.leaving && w.now > since+leaveBound {
+	since := max(b.leavingAt, w.lastOutageAt)
+	if b.leaving && w.now > since+leaveTimeout {
 		w.fail("backend server %s got work %s after it began to leave", b.name, w.now-b.leavingAt)
 	}
 	work := time.Duration(20+w.rng.IntN(300)) * time.Millisecond
 	if d.Resume {
-		work = b.left[d.ID]
+		work = b.remaining[d.ID]
 	} else {
 		b.runs[d.ID]++
 	}
@@ -319,7 +319,7 @@
 // checkShed asserts that nothing was shed while lower work ran untouched on a server of its zone
 // that could have been interrupted for it. In times of faults a scheduler may not see all of it.
 func (w *world) checkShed(r *fakeRequest) {
-	if r.service != modelService || w.now-w.quietAt < shedCalm {
+	if r.service != modelService || w.now-w.lastFaultAt < shedSettleTime {
 		return
 	}
 	for _, b := range w.backends {
@@ -327,7 +327,7 @@
 			continue
 		}
 		for id := range b.running {
-			if o := w.requests[id]; o.priority < r.priority && w.now-o.began > shedCalm/4 {
+			if o := w.requests[id]; o.priority < r.priority && w.now-o.began > shedSettleTime/4 {
 				w.fail("request %s at priority %d was shed while %s at %d ran on %s", r.id, r.priority, id, o.priority, b.name)
 			}
 		}
@@ -346,9 +346,9 @@
 	}
 	delete(b.running, id)
 	for _, other := range w.backends {
-		other.left[id] = end - w.now // the export can be taken in anywhere
+		other.remaining[id] = end - w.now // the export can be taken in anywhere
 	}
-	w.feed(h, core.Ended{ID: id, Attempt: r.attempt, Outcome: core.Suspended})
+	w.feed(h, core.DispatchEnded{ID: id, Attempt: r.attempt, Outcome: core.Suspended})
 }
 
 func (w *world) finish(h *fakeHost, e core.Finish) {
@@ -378,14 +378,14 @@
 func (w *world) advance(d time.Duration) {
 	for until := w.now + d; w.now < until; {
 		w.now += core.TickInterval
-		if w.disturbed() {
-			w.quietAt = w.now
+		if w.hasFault() {
+			w.lastFaultAt = w.now
 		}
-		if w.unheard() {
-			w.hearAt = w.now
+		if w.hasOutage() {
+			w.lastOutageAt = w.now
 		}
-		if w.newsBlocked() {
-			w.newsAt = w.now
+		if w.updatesBlocked() {
+			w.lastBlockedAt = w.now
 		}
 		w.deliver()
 		w.work()
@@ -396,9 +396,9 @@
 	w.checkInForce()
 }
 
-// newsBlocked tells that some host could not hear of a change: it is cut off, paused or dead, or no
+// updatesBlocked tells that some host could not hear of a change: it is cut off, paused or dead, or no
 // host at all reads the platform as it is.
-func (w *world) newsBlocked() bool {
+func (w *world) updatesBlocked() bool {
 	readers := 0
 	for _, id := range w.ids {
 		h := w.hosts[id]
@@ -417,11 +417,11 @@
 // host can read the platform.
 func (w *world) checkInForce() {
 	for _, p := range w.history {
-		if max(p.at, w.newsAt)+inForceBound > w.now {
+		if max(p.at, w.lastBlockedAt)+inForceTimeout > w.now {
 			continue
 		}
 		for _, id := range w.ids {
-			if w.hosts[id].bornAt+inForceBound > w.now {
+			if w.hosts[id].startedAt+inForceTimeout > w.now {
 				continue
 			}
 			if got := w.hosts[id].core.Config().Revision(); got < p.revision {
@@ -431,17 +431,17 @@
 	}
 }
 
-func (w *world) disturbed() bool {
+func (w *world) hasFault() bool {
 	for _, h := range w.hosts {
 		if h.paused {
 			return true
 		}
 	}
-	return w.unheard()
+	return w.hasOutage()
 }
 
-// unheard tells that news may not get everywhere, though all hosts that are there are awake.
-func (w *world) unheard() bool {
+// hasOutage tells that news may not get everywhere, though all hosts that are there are awake.
+func (w *world) hasOutage() bool {
 	if len(w.cut) > 0 || len(w.platform.down) > 0 || len(w.platform.stale) > 0 {
 		return true
 	}
@@ -480,7 +480,7 @@
 		}
 	}
 	w.kill(h)
-	w.boot(h.id, h.zone)
+	w.start(h.id, h.zone)
 }
 
 func (w *world) tick(h *fakeHost) {
@@ -491,8 +491,8 @@
 	if !h.alive {
 		return
 	}
-	late := h.late
-	h.late = nil
+	late := h.deferred
+	h.deferred = nil
 	for _, f := range late {
 		f()
 	}
@@ -573,14 +573,14 @@
 func (w *world) ended(b *fakeBackend, id string) {
 	r := w.requests[id]
 	outcome := core.Done
-	if b.lose || w.deadly[id] {
+	if b.losesAnswers || w.deadly[id] {
 		outcome = core.Failed
 	}
 	if w.deadly[id] {
 		w.deadlyRuns++
 	}
 	if r.host.incarnation == r.born {
-		w.feed(r.host, core.Ended{ID: id, Attempt: r.attempt, Outcome: outcome, BackendEnded: w.deadly[id], FirstToken: 20 * time.Millisecond,
+		w.feed(r.host, core.DispatchEnded{ID: id, Attempt: r.attempt, Outcome: outcome, BackendEnded: w.deadly[id], FirstToken: 20 * time.Millisecond,
 			Interval: 5 * time.Millisecond, Tokens: 10})
 	}
 }
@@ -602,21 +602,21 @@
 	w.cut = map[[2]string]bool{}
 	w.platform.down, w.platform.stale = map[string]bool{}, map[string]int{}
 	for _, b := range w.backends {
-		b.down, b.lose = false, false
+		b.down, b.losesAnswers = false, false
 	}
 	for _, id := range w.ids {
 		h := w.hosts[id]
 		if !h.alive {
-			w.boot(h.id, h.zone)
+			w.start(h.id, h.zone)
 			continue
 		}
-		w.wake(h)
+		w.resume(h)
 	}
 }
 
-// wake lets a paused process go on: its timer may fire before anything else; then come the effects that it had not
+// resume lets a paused process go on: its timer may fire before anything else; then come the effects that it had not
 // carried out, then what waited.
-func (w *world) wake(h *fakeHost) {
+func (w *world) resume(h *fakeHost) {
 	if !h.paused {
 		return
 	}
@@ -624,8 +624,8 @@
 	if w.rng.IntN(2) == 0 {
 		w.feed(h, core.Tick{})
 	}
-	late := h.late
-	h.late = nil
+	late := h.deferred
+	h.deferred = nil
 	for _, f := range late {
 		f()
 	}
@@ -636,10 +636,10 @@
 	}
 }
 
-// judge checks what must hold at the end, with all faults healed and time gone by.
-func (w *world) judge() {
+// checkFinalState checks what must hold at the end, with all faults healed and time gone by.
+func (w *world) checkFinalState() {
 	for _, r := range w.requests {
-		w.judgeRequest(r)
+		w.checkRequest(r)
 	}
 	for _, op := range w.ops {
 		if op.ticket == nil {
@@ -664,7 +664,7 @@
 	}
 }
 
-func (w *world) judgeRequest(r *fakeRequest) {
+func (w *world) checkRequest(r *fakeRequest) {
 	runs := w.runsOf(r.id)
 	if runs > 1 {
 		w.fail("request %s was dispatched %d times", r.id, runs)
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -67,13 +67,13 @@
 }
 
 // timed tells the scheduler how the dispatch went, for its estimates.
-func (m *modelAttempt) timed(e core.Ended) core.Ended {
+func (m *modelAttempt) timed(e core.DispatchEnded) core.DispatchEnded {
 	t := &m.tokens
 	e.FirstToken, e.Interval, e.Tokens = t.FirstChunk(), t.Interval(), uint32(t.Chunks)
 	return e
 }
 
-func (m *modelAttempt) run(ctx context.Context, d core.Dispatch) core.Ended {
+func (m *modelAttempt) run(ctx context.Context, d core.Dispatch) core.DispatchEnded {
 	m.addr = d.Backend.Addr
 	m.tokens = timing.Stream{StartedAt: time.Now()}
 	m.dropOldExport()
@@ -106,13 +106,13 @@
 	return m.server.engines.Start(ctx, m.addr, m.call.id, m.body, carrier(h))
 }
 
-func (m *modelAttempt) openFailed(ctx context.Context, d core.Dispatch, sent bool, err error) core.Ended {
+func (m *modelAttempt) openFailed(ctx context.Context, d core.Dispatch, sent bool, err error) core.DispatchEnded {
 	if !sent || notAdmitted(err) {
-		return core.Ended{Outcome: core.NotSent}
+		return core.DispatchEnded{Outcome: core.NotSent}
 	}
 	if ctx.Err() != nil {
 		m.cancel()
-		return core.Ended{Outcome: core.Canceled}
+		return core.DispatchEnded{Outcome: core.Canceled}
 	}
 	// The request was written and its answer lost: the engine may have it. Asking for the stream
 	// is not a second dispatch; an engine that never got the request answers that it is unknown.
@@ -123,7 +123,7 @@
 			return m.timed(m.follow(ctx, st))
 		}
 	}
-	return core.Ended{Outcome: core.Failed, BackendEnded: upstream.IsRefused(again), Fault: fault.New(fault.OutcomeUnknown, "backend server %s: %v", d.Backend.Name, err)}
+	return core.DispatchEnded{Outcome: core.Failed, BackendEnded: upstream.IsRefused(again), Fault: fault.New(fault.OutcomeUnknown, "backend server %s: %v", d.Backend.Name, err)}
 }
 
 // cancel ends the work at the engine.
@@ -147,7 +147,7 @@
 }
 
 // follow reads the stream to its end, over cuts.
-func (m *modelAttempt) follow(ctx context.Context, st *engine.Stream) core.Ended {
+func (m *modelAttempt) follow(ctx context.Context, st *engine.Stream) core.DispatchEnded {
 	for {
 		e, cut := m.read(ctx, st)
 		st.Close()
@@ -157,11 +157,11 @@
 		var err error
 		if st, err = m.reattach(ctx); st == nil {
 			if ctx.Err() != nil {
-				return core.Ended{Outcome: core.Canceled}
+				return core.DispatchEnded{Outcome: core.Canceled}
 			}
 			// An engine that does not know a stream which it has just sent has started again meanwhile.
 			ended := unknownStream(err) || upstream.IsRefused(err)
-			return core.Ended{Outcome: core.Failed, BackendEnded: ended, Fault: fault.New(fault.AnswerCut, "after %d tokens", m.offset)}
+			return core.DispatchEnded{Outcome: core.Failed, BackendEnded: ended, Fault: fault.New(fault.AnswerCut, "after %d tokens", m.offset)}
 		}
 		m.server.metrics.Count("edge.reattached", 1)
 	}
@@ -171,7 +171,7 @@
 //
 // The checks of id and offset guard against crossed and torn answers: a chunk of another request,
 // or one that skips tokens, counts as a cut, and the stream is taken up at the right place.
-func (m *modelAttempt) read(ctx context.Context, st *engine.Stream) (e core.Ended, cut bool) {
+func (m *modelAttempt) read(ctx context.Context, st *engine.Stream) (e core.DispatchEnded, cut bool) {
 	finished := false
 	for {
 		c, err := st.Next()
@@ -179,7 +179,7 @@
 			return m.deliver()
 		}
 		if err != nil || c.ID != m.call.id {
-			return core.Ended{Outcome: core.Canceled}, ctx.Err() == nil
+			return core.DispatchEnded{Outcome: core.Canceled}, ctx.Err() == nil
 		}
 		if c.Suspended() {
 			return m.suspended(ctx), false
@@ -188,7 +188,7 @@
 			continue // a repeat after re-attachment
 		}
 		if c.Offset > m.offset {
-			return core.Ended{}, true
+			return core.DispatchEnded{}, true
 		}
 		if c.Finished() != "" {
 			finished = true
@@ -197,29 +197,29 @@
 			m.tokens.AddChunk(time.Now())
 		}
 		if err := m.sink.chunk(c); err != nil {
-			return core.Ended{Outcome: core.Canceled}, false
+			return core.DispatchEnded{Outcome: core.Canceled}, false
 		}
 	}
 }
 
-func (m *modelAttempt) deliver() (core.Ended, bool) {
+func (m *modelAttempt) deliver() (core.DispatchEnded, bool) {
 	if err := m.sink.done(); err != nil {
-		return core.Ended{Outcome: core.Canceled}, false
+		return core.DispatchEnded{Outcome: core.Canceled}, false
 	}
-	return core.Ended{Outcome: core.Done}, false
+	return core.DispatchEnded{Outcome: core.Done}, false
 }
 
 // suspended waits for the export whose end mark the stream has shown.
-func (m *modelAttempt) suspended(ctx context.Context) core.Ended {
+func (m *modelAttempt) suspended(ctx context.Context) core.DispatchEnded {
 	select {
 	case kv := <-m.exported:
 		m.kv = kv
 		m.kv.Offset = m.offset
-		return core.Ended{Outcome: core.Suspended}
+		return core.DispatchEnded{Outcome: core.Suspended}
 	case <-ctx.Done():
-		return core.Ended{Outcome: core.Canceled}
+		return core.DispatchEnded{Outcome: core.Canceled}
 	case <-time.After(suspendWait):
-		return core.Ended{Outcome: core.Failed, Fault: fault.New(fault.AnswerCut, "the exported stream was lost")}
+		return core.DispatchEnded{Outcome: core.Failed, Fault: fault.New(fault.AnswerCut, "the exported stream was lost")}
 	}
 }
 
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	m := &modelAttempt{server: s, call: &call{id: "r"}, sink: newSink(httptest.NewRecorder(), &call{id: "r"}, false, 1), exported: make(chan *engine.KV, 1)}
-	ended := make(chan core.Ended, 1)
+	ended := make(chan core.DispatchEnded, 1)
 	go func() {
 		ended <- m.run(ctx, core.Dispatch{Backend: record.Backend{Addr: hung.Listener.Addr().String()}})
 	}()
--- a/internal/edge/flight.go
+++ b/internal/edge/flight.go
@@ -16,7 +16,7 @@
 // attempt carries out the dispatches of one request, one at a time.
 type attempt interface {
 	// run makes the call and writes the answer as it comes. It returns when the dispatch has ended.
-	run(ctx context.Context, d core.Dispatch) core.Ended
+	run(ctx context.Context, d core.Dispatch) core.DispatchEnded
 	// suspend asks the backend server at addr to export the stream that run reads. It is called
 	// from another goroutine than run.
 	suspend(ctx context.Context, addr string)
@@ -27,7 +27,7 @@
 // fly hands a request to the reducer and carries out its effects until it is finished.
 func (s *Server) fly(c *call, sub core.Submit, a attempt) {
 	effects := make(chan core.Effect, effectBuffer)
-	ended := make(chan core.Ended, 1)
+	ended := make(chan core.DispatchEnded, 1)
 	ctx, cancel := context.WithCancel(c.Context())
 	defer cancel()
 	ctx, wait := s.tracing.Start(ctx, "host to host: slot")
@@ -73,9 +73,9 @@
 // dispatch makes the call unless the permission has run out on this host's own clock. The check
 // guards against a process that was paused between the decision and this line: it would dispatch
 // on a lease that others count as ended.
-func (s *Server) dispatch(ctx context.Context, a attempt, d core.Dispatch, ended chan<- core.Ended) {
+func (s *Server) dispatch(ctx context.Context, a attempt, d core.Dispatch, ended chan<- core.DispatchEnded) {
 	if s.control.Now() > d.ValidUntil {
-		ended <- core.Ended{ID: d.ID, Attempt: d.Attempt, Outcome: core.NotSent}
+		ended <- core.DispatchEnded{ID: d.ID, Attempt: d.Attempt, Outcome: core.NotSent}
 		return
 	}
 	ctx, span := s.tracing.Start(ctx, "host to backend server")
--- a/internal/edge/flight_test.go
+++ b/internal/edge/flight_test.go
@@ -25,9 +25,9 @@
 // countingAttempt counts the calls that reach a backend server.
 type countingAttempt struct{ calls int }
 
-func (a *countingAttempt) run(context.Context, core.Dispatch) core.Ended {
+func (a *countingAttempt) run(context.Context, core.Dispatch) core.DispatchEnded {
 	a.calls++
-	return core.Ended{Outcome: core.Done}
+	return core.DispatchEnded{Outcome: core.Done}
 }
 func (*countingAttempt) suspend(context.Context, string) {}
 func (*countingAttempt) conclude(*fault.Error)           {}
@@ -45,7 +45,7 @@
 	}{{time.Second, 1, core.Done}, {5 * time.Second, 0, core.NotSent}} {
 		s := New(Options{}, lateClock{c.now}, tracing, telemetry.NewMetrics(), zerolog.Nop())
 		a := &countingAttempt{}
-		ended := make(chan core.Ended, 1)
+		ended := make(chan core.DispatchEnded, 1)
 		s.dispatch(context.Background(), a, core.Dispatch{ID: "r", Attempt: 3, ValidUntil: 2 * time.Second}, ended)
 		e := <-ended
 		require.Equal(t, c.calls, a.calls)
--- a/internal/edge/pass.go
+++ b/internal/edge/pass.go
@@ -49,11 +49,11 @@
 	begun    bool
 }
 
-func (p *plainAttempt) run(ctx context.Context, d core.Dispatch) core.Ended {
+func (p *plainAttempt) run(ctx context.Context, d core.Dispatch) core.DispatchEnded {
 	started := time.Now()
 	req, err := p.request(ctx, d.Backend.Addr)
 	if err != nil {
-		return core.Ended{Outcome: core.NotSent}
+		return core.DispatchEnded{Outcome: core.NotSent}
 	}
 	resp, sent, err := wire.Do(p.server.plain, req)
 	if err != nil {
@@ -62,13 +62,13 @@
 	defer resp.Body.Close()
 	if err := p.copy(d, resp); err != nil {
 		if ctx.Err() != nil {
-			return core.Ended{Outcome: core.Canceled}
+			return core.DispatchEnded{Outcome: core.Canceled}
 		}
-		return core.Ended{Outcome: core.Failed, BackendEnded: upstream.ProbeRefused(ctx, d.Backend.Addr),
+		return core.DispatchEnded{Outcome: core.Failed, BackendEnded: upstream.ProbeRefused(ctx, d.Backend.Addr),
 			Fault: fault.New(fault.AnswerCut, "backend server %s: %v", d.Backend.Name, err)}
 	}
 	took := time.Since(started)
-	return core.Ended{Outcome: core.Done, FirstToken: took, Interval: took, Tokens: 1}
+	return core.DispatchEnded{Outcome: core.Done, FirstToken: took, Interval: took, Tokens: 1}
 }
 
 func (p *plainAttempt) request(ctx context.Context, addr string) (*http.Request, error) {
@@ -93,14 +93,14 @@
 	return req, nil
 }
 
-func (p *plainAttempt) failed(ctx context.Context, d core.Dispatch, sent bool, err error) core.Ended {
+func (p *plainAttempt) failed(ctx context.Context, d core.Dispatch, sent bool, err error) core.DispatchEnded {
 	switch {
 	case !sent:
-		return core.Ended{Outcome: core.NotSent}
+		return core.DispatchEnded{Outcome: core.NotSent}
 	case ctx.Err() != nil:
-		return core.Ended{Outcome: core.Canceled}
+		return core.DispatchEnded{Outcome: core.Canceled}
 	default:
-		return core.Ended{Outcome: core.Failed, BackendEnded: upstream.ProbeRefused(ctx, d.Backend.Addr), Fault: fault.New(fault.OutcomeUnknown, "backend server %s: %v", d.Backend.Name, err)}
+		return core.DispatchEnded{Outcome: core.Failed, BackendEnded: upstream.ProbeRefused(ctx, d.Backend.Addr), Fault: fault.New(fault.OutcomeUnknown, "backend server %s: %v", d.Backend.Name, err)}
 	}
 }
 
--- a/internal/edge/stop_test.go
+++ b/internal/edge/stop_test.go
@@ -42,7 +42,7 @@
 }
 
 func (s *stopping) Post(e core.Event) {
-	if _, ok := e.(core.Ended); ok && s.told == nil {
+	if _, ok := e.(core.DispatchEnded); ok && s.told == nil {
 		s.stop()
 	}
 }
--- a/internal/sched/backend.go
+++ b/internal/sched/backend.go
@@ -6,45 +6,45 @@
 	"fireflyshift/internal/record"
 )
 
-// Learned quantities start here until a backend server has shown its own.
+// Initial values of the learned quantities, and the constants of the estimators.
 const (
 	initialInterval  = 10 * time.Millisecond  // between tokens
 	initialPrefill   = 200 * time.Microsecond // per uncached prompt token
 	ewmaGain         = 0.2
-	slowFactor       = 1.6 // interval over its own best that calls for a smaller window
+	slowFactor       = 1.6 // interval relative to the best interval from which on the window shrinks
 	windowDecrease   = 0.85
-	baselineDrift    = 1.001 // lets the best interval follow a lasting change
+	baselineDrift    = 1.001 // growth per sample, so that the best interval follows a lasting change
 	minCoolDown      = 500 * time.Millisecond
 	maxCoolDown      = 10 * time.Second
-	minPrefillSample = 128
-	tokensPerBlock   = 64 // tokens in the shortest prefix that a host hashes
+	minPrefillSample = 128 // uncached tokens from which on a sample counts for prefill
+	tokensPerBlock   = 64  // tokens in the shortest prefix that an entry host hashes
 )
 
 // run is a granted or running request.
 type run struct {
 	Held
-	uncached    float64 // prompt tokens believed not cached when it was granted; -1 if unknown
+	uncached    float64 // estimated uncached prompt tokens when it was granted; -1 if unknown
 	grantedAt   time.Duration
-	confirmedAt time.Duration // latest time that its entry host named it
+	confirmedAt time.Duration // latest time that its entry host listed it
 	preemptedAt time.Duration
 	displacing  bool
 	orphanedAt  time.Duration // when its entry host was lost; zero if it was not
 }
 
-// backend is what the scheduler knows of one backend server.
+// backend is the scheduler's state of one backend server.
 type backend struct {
 	spec             record.Backend
 	runs             map[Key]*run
 	window           float64
-	interval         float64 // learned, ms between tokens
-	bestInterval     float64 // the least it has shown of late
-	prefill          float64 // learned, ms per uncached prompt token
-	cachedFirstToken float64 // learned, ms to the first token of a cached prompt
+	interval         float64 // learned ms between tokens
+	bestInterval     float64 // recent minimum of the interval in ms
+	prefill          float64 // learned ms per uncached prompt token
+	cachedFirstToken float64 // learned ms to the first token of a cached prompt
 	samples          int
 	prefixes         *prefixCache
 	failures         int
 	coolUntil        time.Duration
-	// reportedLoad is the engine's own lagging word on its load.
+	// reportedLoad is the engine's own report of its load, which lags.
 	reportedLoad int
 }
 
@@ -63,16 +63,16 @@
 
 func fromMS(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// limit is how many requests may be outstanding now.
+// limit returns how many requests may be in flight now.
 func (b *backend) limit() int { return max(1, int(b.window)) }
 
-// limitFor leaves the slots that more urgent tiers have reserved.
+// limitFor returns the limit without the slots that are reserved for higher priorities.
 func (b *backend) limitFor(reservePercent int) int {
 	reserved := (b.limit()*reservePercent + 99) / 100
 	return max(1, b.limit()-reserved)
 }
 
-// uncached is how many prompt tokens the server is believed to have to compute.
+// uncached returns the estimated number of prompt tokens that the server has to compute.
 func (b *backend) uncached(r *Request) float64 {
 	if r.Resume {
 		return 0
@@ -80,14 +80,14 @@
 	return float64(r.PromptTokens) - float64(b.prefixes.matched(r.Prefix, r.PromptTokens))
 }
 
-// estimate is the time that a request would take from grant to last token, in ms. A share of the
-// output bound is expected, since most answers end before their bound.
+// estimate returns the estimated time in ms from grant to last token. Only a share of the maximum output
+// is expected, since most answers are shorter.
 func (b *backend) estimate(r *Request, share float64) float64 {
 	return b.cachedFirstToken + b.uncached(r)*b.prefill + float64(r.OutputTokens)*share*b.interval
 }
 
-// measuredEstimate is the estimate once the server has measuredEstimate its pace, zero before: a guess may order servers,
-// but must never refuse a request.
+// measuredEstimate returns the estimate if the server has samples, otherwise zero: initial values may
+// order servers but must never cause a refusal.
 func (b *backend) measuredEstimate(r *Request, share float64) float64 {
 	if b.samples == 0 {
 		return 0
@@ -95,11 +95,12 @@
 	return b.estimate(r, share)
 }
 
-// learn takes a finished dispatch into the estimates and the window.
+// learn updates the estimates and the window from a finished dispatch.
 //
-// The window guards against a backend server that slows down without warning: the engine admits
-// whatever it is sent, so every request in it would miss its time. It shows as token intervals far
-// above the server's own best; the window then shrinks by a factor, and grows by one per window.
+// The window protects against a backend server that slows down without notice: an engine admits whatever
+// it is sent, so that every request on it would miss its deadline. If a token interval exceeds slowFactor
+// times the best interval, the window shrinks by windowDecrease; otherwise, while the window is full, it
+// grows by about one per window of requests.
 func (b *backend) learn(now time.Duration, res Result, uncached float64, modelService bool) {
 	if res.Outcome == Failed {
 		b.coolDown(now)
@@ -135,8 +136,8 @@
 	}
 }
 
-// learnPrefill splits the time to the first token: what a cached prompt takes, and what each uncached
-// token adds.
+// learnPrefill splits the time to the first token into the time for a cached prompt and the time per
+// uncached token.
 func (b *backend) learnPrefill(res Result, uncached float64) {
 	if res.FirstToken <= 0 || uncached < 0 {
 		return
@@ -149,14 +150,14 @@
 	b.prefill += ewmaGain * (sample - b.prefill)
 }
 
-// coolDown keeps new work off a backend server that failed, for longer each time in a row.
+// coolDown excludes a failed backend server from new requests, for longer with each failure in a row.
 func (b *backend) coolDown(now time.Duration) {
 	d := minCoolDown << min(b.failures, 5)
 	b.coolUntil = now + min(d, maxCoolDown)
 	b.failures++
 }
 
-// ready tells whether the server may get work. After a failure it gets one request at a time.
+// ready reports whether the server may get requests. After a failure it gets one at a time.
 func (b *backend) ready(now time.Duration) bool {
 	if b.spec.Leaving || now < b.coolUntil {
 		return false
--- a/internal/sched/displace.go
+++ b/internal/sched/displace.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// victimRetryInterval is when a run that was asked to give way, and still runs, is asked again.
+// victimRetryInterval is when a preempted run that still runs may be preempted again.
 const victimRetryInterval = time.Second
 
-// displace makes room for waiting urgent work by suspending lower work, one slot for each request
-// that has waited longer than DisplaceAfter.
+// displace preempts runs of a lower priority, one for each waiting request of w's priority, once w has
+// waited for DisplaceAfter.
 func (g *Group) displace(now time.Duration, w *queuedRequest) {
 	if ignoresTiers(g.service.Policy) || now-w.arrived < g.opt.DisplaceAfter {
 		return
@@ -21,8 +21,8 @@
 	}
 }
 
-// pendingSlots counts the slots that preemptions under way will free for a priority. One that stays
-// unanswered no longer counts: its entry host may be dead or paused.
+// pendingSlots counts the slots that pending preemptions will free for a priority. A preemption that stays
+// unanswered no longer counts after PreemptTimeout: the entry host may be dead or paused.
 func (g *Group) pendingSlots(now time.Duration, priority uint32) int {
 	n := 0
 	for _, b := range g.backends {
@@ -35,7 +35,7 @@
 	return n
 }
 
-// displaceAllBelow suspends every lower run on a server that could serve the request.
+// displaceAllBelow preempts every run of a lower priority on a server that could serve the request.
 func (g *Group) displaceAllBelow(now time.Duration, w *queuedRequest) {
 	for r := g.selectVictim(now, w); r != nil; r = g.selectVictim(now, w) {
 		g.preempt(now, r)
@@ -47,7 +47,7 @@
 	g.decisions = append(g.decisions, Preempt{r.Key, r.Attempt})
 }
 
-// selectVictim picks the victim for a waiting request, nil if there is none.
+// selectVictim selects the run to preempt for a waiting request, nil if there is none.
 func (g *Group) selectVictim(now time.Duration, w *queuedRequest) *run {
 	var victim *run
 	for _, name := range g.sortedNames {
@@ -68,8 +68,8 @@
 	return victim
 }
 
-// betterVictim prefers the lowest tier, then idempotent work, then the most left to do, then the
-// latest start; the key breaks ties so that the choice replays.
+// betterVictim prefers the lowest priority, then idempotent requests, then the largest output limit, then
+// the latest start. The key breaks ties, so that the choice is deterministic.
 func betterVictim(a, b *run) bool {
 	if a.Priority != b.Priority {
 		return a.Priority < b.Priority
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -9,7 +9,7 @@
 	"fireflyshift/internal/record"
 )
 
-// sweepInterval is how often lost runs are looked for: the look costs a pass over all runs.
+// sweepInterval is how often lost runs are searched for; each search visits all runs.
 const sweepInterval = 250 * time.Millisecond
 
 // Group is the scheduler's state for one group of backend servers of one service in one
@@ -18,26 +18,26 @@
 	opt               Options
 	service           record.Service
 	backends          map[string]*backend
-	sortedNames       []string // names, sorted
+	sortedNames       []string
 	queue             *queue
-	runs              map[Key]*run // over all backend servers
+	runs              map[Key]*run // of all backend servers
 	entryHosts        map[string]*entryHost
-	reservePercent    [NumPriorities]int // percent of slots that tiers above each priority reserve
-	runningByPriority [NumPriorities]int // how many run at each priority
+	reservePercent    [NumPriorities]int // percent of slots reserved for tiers above each priority
+	runningByPriority [NumPriorities]int // number of runs at each priority
 	grants            uint64
-	outputRatio       float64 // share of the output bound that answers come to; zero before the first
+	outputRatio       float64 // learned ratio of output length to its maximum; zero before the first answer
 	settled           bool
 	settleBy          time.Duration
 	sweptAt           time.Duration
-	awaitingHoldings  map[string]bool // hosts whose Holdings a new scheduler waits for
+	awaitingHoldings  map[string]bool // hosts whose holdings a new scheduler still waits for
 	inv               *invariant.Log
 	decisions         []Decision
-	// HardBoundSheds counts refusals by the hard bound of the queue.
+	// HardBoundSheds counts refusals due to the hard bound of the queue.
 	HardBoundSheds int
 }
 
-// NewGroup returns a group that grants once the hosts have said what they run, or after
-// Options.Settle. Without that wait a scheduler that takes over would fill engines twice.
+// NewGroup returns a group that starts to grant once the given hosts have sent their holdings, or after
+// Options.SettleTimeout. Without that wait, a new scheduler would fill engines whose slots are in use.
 func NewGroup(now time.Duration, opt Options, service record.Service, hosts []string, inv *invariant.Log) *Group {
 	g := &Group{
 		opt:              opt,
@@ -57,10 +57,10 @@
 	return g
 }
 
-// SetService takes a changed service record.
+// SetService applies a changed service record.
 func (g *Group) SetService(s record.Service) { g.service = s }
 
-// SetTiers takes the tiers in force, for their reserves.
+// SetTiers applies the tiers in force and computes the slots that they reserve.
 func (g *Group) SetTiers(tiers []*record.Tier) {
 	g.reservePercent = [NumPriorities]int{}
 	for _, t := range tiers {
@@ -70,7 +70,7 @@
 	}
 }
 
-// SetBackends takes the backend servers in force. One that is gone keeps its runs until they end.
+// SetBackends applies the backend servers in force. A removed server keeps its runs until they end.
 func (g *Group) SetBackends(now time.Duration, specs []record.Backend) []Decision {
 	present := map[string]bool{}
 	for _, s := range specs {
@@ -98,9 +98,9 @@
 		return
 	}
 	if b.spec.Addr != s.Addr {
-		// A server at another address is another machine: nothing learned holds for it.
+		// A server at another address is another machine, to which the learned values do not apply.
 		fresh := newBackend(s)
-		fresh.runs = b.runs // they end at the old address, but hold the name's slots until then
+		fresh.runs = b.runs // they end at the old address but use slots under this name until then
 		g.backends[s.Name] = fresh
 		return
 	}
@@ -120,7 +120,7 @@
 
 func (g *Group) position(name string) int { return sort.SearchStrings(g.sortedNames, name) }
 
-// Acquire queues a request, or answers it at once.
+// Acquire queues a request, or grants or refuses it at once.
 func (g *Group) Acquire(now time.Duration, r Request) []Decision {
 	if r.Priority >= NumPriorities {
 		r.Priority = NumPriorities - 1
@@ -139,8 +139,8 @@
 	return g.takeDecisions()
 }
 
-// handleRepeated handles a second copy of a request: links are cut and answers lost, so entry hosts ask
-// again until they are answered. It reports whether there is nothing left to do.
+// handleRepeated handles a repeated request: entry hosts repeat it until they get an answer, since links
+// break and messages are lost. It reports whether the request needs no further handling.
 func (g *Group) handleRepeated(now time.Duration, r Request) bool {
 	if w, ok := g.queue.byKey[r.Key]; ok {
 		if r.Attempt <= w.Attempt {
@@ -179,7 +179,8 @@
 	return w
 }
 
-// expectedOutputRatio is the part of the output bound that answers come to, learned from those that ended.
+// expectedOutputRatio returns the expected ratio of output length to its maximum, 1 before the first
+// answer.
 func (g *Group) expectedOutputRatio() float64 {
 	if g.outputRatio == 0 {
 		return 1
@@ -187,7 +188,7 @@
 	return g.outputRatio
 }
 
-// learnOutputRatio takes the length of a whole answer.
+// learnOutputRatio updates the output ratio from a complete answer.
 func (g *Group) learnOutputRatio(r *run, res Result) {
 	if res.Outcome != Done || r.OutputTokens == 0 || res.Tokens == 0 {
 		return
@@ -200,7 +201,8 @@
 	g.outputRatio += ewmaGain * (sample - g.outputRatio)
 }
 
-// Withdraw forgets a request whose caller has gone or whose entry host gave it up.
+// Withdraw removes a request that its entry host no longer needs, such as one whose caller has
+// disconnected.
 func (g *Group) Withdraw(now time.Duration, k Key, attempt uint32) []Decision {
 	if w, ok := g.queue.byKey[k]; ok && w.Attempt <= attempt {
 		g.queue.remove(w)
@@ -212,7 +214,7 @@
 	return g.takeDecisions()
 }
 
-// Release takes the end of a dispatch.
+// Release applies the end of a dispatch and frees its slot.
 func (g *Group) Release(now time.Duration, res Result) []Decision {
 	b, ok := g.backends[res.Backend]
 	uncached := -1.0
@@ -228,7 +230,8 @@
 	return g.takeDecisions()
 }
 
-// UpdateHoldings takes the full list of what one entry host runs here: it renews, adds and removes.
+// UpdateHoldings applies the full list of what one entry host runs here: it confirms known runs, adds
+// unknown ones and frees those not listed.
 func (g *Group) UpdateHoldings(now time.Duration, host string, held []Held) []Decision {
 	named := map[Key]bool{}
 	for _, h := range held {
@@ -236,7 +239,7 @@
 		g.adopt(now, h)
 	}
 	for _, r := range g.runsOf(host) {
-		// A grant may be on its way while the list is on its own: wait out the lease.
+		// A grant may still be on its way to the entry host, so keep unlisted runs for the lease.
 		if !named[r.Key] && now-r.grantedAt > g.opt.Lease {
 			g.free(r)
 		}
@@ -268,8 +271,8 @@
 	g.start(b, &run{Held: h, grantedAt: now, confirmedAt: now, uncached: -1})
 }
 
-// HostLost drops what a dead entry host had waiting; its runs keep their slots for OrphanGrace,
-// since the engines may not have noticed yet.
+// HostLost removes the waiting requests of an unreachable entry host. Its runs keep their slots for
+// OrphanGrace, since the engines may not have noticed yet.
 func (g *Group) HostLost(now time.Duration, host string) []Decision {
 	for _, w := range g.waitingByKey() {
 		if w.Key.Host == host {
@@ -286,7 +289,7 @@
 	return g.takeDecisions()
 }
 
-// Dissolve tells all that waits to look for the group's next scheduler.
+// Dissolve refuses all waiting requests with Moved, so that they find the next scheduler of the group.
 func (g *Group) Dissolve() []Decision {
 	for _, w := range g.waitingByKey() {
 		g.refuse(w, fault.Moved, 0)
@@ -295,7 +298,7 @@
 	return g.takeDecisions()
 }
 
-// waitingByKey lists what waits in a fixed order.
+// waitingByKey returns the waiting requests sorted by key.
 func (g *Group) waitingByKey() []*queuedRequest {
 	all := make([]*queuedRequest, 0, g.queue.len())
 	for _, w := range g.queue.byKey {
@@ -305,7 +308,7 @@
 	return all
 }
 
-// Tick lets time pass: it ends waits that cannot meet their deadline and looks for free slots.
+// Tick advances time: it refuses requests that can no longer meet their deadline and grants free slots.
 func (g *Group) Tick(now time.Duration) []Decision {
 	if !g.settled && now >= g.settleBy {
 		g.settled = true
@@ -319,10 +322,11 @@
 	return g.takeDecisions()
 }
 
-// Busy tells whether time alone may change something soon: a request waits, or the group is new.
+// Busy reports whether the group needs frequent ticks: a request waits, or the group still waits for
+// holdings.
 func (g *Group) Busy() bool { return !g.settled || g.queue.len() > 0 }
 
-// freeLostRuns frees the slots of runs whose entry host is dead or no longer names them.
+// freeLostRuns frees the slots of runs whose entry host is dead or has not confirmed them for too long.
 func (g *Group) freeLostRuns(now time.Duration) {
 	lost := g.runsWhere(func(r *run) bool {
 		orphan := r.orphanedAt > 0 && now-r.orphanedAt > g.opt.OrphanGrace
@@ -333,14 +337,14 @@
 	}
 }
 
-// ReportLoad takes an engine's lagging word on its load.
+// ReportLoad records an engine's own report of its load.
 func (g *Group) ReportLoad(name string, outstanding int) {
 	if b, ok := g.backends[name]; ok {
 		b.reportedLoad = outstanding
 	}
 }
 
-// CacheEvicted takes cache events of an engine.
+// CacheEvicted records evictions from an engine's prefix cache.
 func (g *Group) CacheEvicted(name string, hashes []uint32) {
 	b, ok := g.backends[name]
 	if !ok {
@@ -357,7 +361,7 @@
 	return g.runsWhere(func(r *run) bool { return r.Key.Host == host })
 }
 
-// runsWhere lists runs in a fixed order.
+// runsWhere returns the matching runs sorted by key.
 func (g *Group) runsWhere(want func(*run) bool) []*run {
 	var out []*run
 	for _, r := range g.runs {
--- a/internal/sched/held.go
+++ b/internal/sched/held.go
@@ -7,14 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// entryHost sums up the runs of one entry host, so that its digest confirms all of them at once.
+// entryHost summarizes the runs of one entry host, so that one digest confirms all of them.
 type entryHost struct {
 	count       int
 	digest      uint64
 	confirmedAt time.Duration
 }
 
-// RunHash is a run's part of an entry host's digest: XOR makes the sum independent of order.
+// RunHash returns the hash of a run. The digest of an entry host is the XOR of its runs' hashes,
+// independent of order.
 func RunHash(request uint64, attempt uint32) uint64 {
 	var b [12]byte
 	binary.BigEndian.PutUint64(b[:], request)
@@ -22,8 +23,8 @@
 	return xxhash.Sum64(b[:])
 }
 
-// Confirm compares an entry host's digest of what it runs here. It reports whether the two agree;
-// if not, the full list has to be asked for.
+// Confirm compares the digest of what an entry host runs here with this group's record, and confirms its
+// runs if the two match. It returns false if they differ; then the full list has to be requested.
 func (g *Group) Confirm(now time.Duration, host string, count int, digest uint64) bool {
 	h, ok := g.entryHosts[host]
 	if !ok {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -7,17 +7,18 @@
 	"fireflyshift/internal/record"
 )
 
-// Bounds of the time to come back that a refusal names.
+// Limits of the retry delay in a refusal.
 const (
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
-	// hardQueueFactor bounds the queue absolutely, also while displaced work makes room.
+	// hardQueueFactor is the factor over the normal bound up to which the queue may grow while preempted
+	// runs make room.
 	hardQueueFactor = 4
-	// finishMargin is put on the estimate of a finish before it is held against a deadline.
+	// finishMargin is the safety factor on the estimated duration when it is compared with a deadline.
 	finishMargin = 1.15
 )
 
-// schedule grants as long as the most urgent waiting request fits somewhere, then displaces for it.
+// schedule grants slots while the first waiting request fits on a server, then preempts runs for it.
 func (g *Group) schedule(now time.Duration) {
 	if !g.settled {
 		return
@@ -26,7 +27,7 @@
 	}
 }
 
-// grantNext serves one request and reports whether it did.
+// grantNext grants a slot to one request and reports whether it did.
 func (g *Group) grantNext(now time.Duration) bool {
 	if ignoresTiers(g.service.Policy) {
 		w := g.queue.oldest()
@@ -40,7 +41,7 @@
 			case noFreeSlot:
 				g.displace(now, line.head())
 				if line == g.queue.newRequests[p] {
-					return false // what fresh urgent work could use, lower work must not take
+					return false // slots that new requests of this priority could use must not go to lower ones
 				}
 			}
 		}
@@ -48,24 +49,25 @@
 	return false
 }
 
-// placement is what became of an attempt to place a request.
+// placement is the result of an attempt to grant a slot to a request.
 type placement int
 
 const (
 	granted placement = iota + 1
-	// noFreeSlot: no server that could serve it in time has a free slot.
+	// noFreeSlot: no server that could serve the request in time has a free slot.
 	noFreeSlot
-	// tooSlow: free slots are left, on servers that would not finish it in time.
+	// tooSlow: the servers with free slots would not finish the request in time.
 	tooSlow
-	// noneWaiting: nobody waits.
+	// noneWaiting: no request waits.
 	noneWaiting
 )
 
-// maxHeadsTried is how many workspaces of a tier are looked at when the first one's work is too long
-// for the servers that are free.
+// maxHeadsTried is how many workspaces of a tier are tried if the first one's request is too long for the
+// free servers.
 const maxHeadsTried = 8
 
-// grantFromTier serves one tier: its next workspace, or another whose work fits the free servers.
+// grantFromTier grants a slot to the next workspace of a tier, or to another whose request fits a free
+// server.
 func (g *Group) grantFromTier(now time.Duration, t *tierQueue) placement {
 	out := noneWaiting
 	for _, w := range t.heads(maxHeadsTried) {
@@ -81,7 +83,7 @@
 	return out
 }
 
-// tryGrant grants a request if it can.
+// tryGrant grants a slot to a request if a server can take it.
 func (g *Group) tryGrant(now time.Duration, w *queuedRequest) placement {
 	b, v := g.selectBackend(now, w)
 	if v == granted {
@@ -90,7 +92,8 @@
 	return v
 }
 
-// selectBackend filters and scores.
+// selectBackend filters and scores the backend servers for a request. It returns nil if none can take it
+// now.
 func (g *Group) selectBackend(now time.Duration, w *queuedRequest) (*backend, placement) {
 	score := scorers[g.service.Policy]
 	if score == nil {
@@ -118,13 +121,13 @@
 	return best, v
 }
 
-// canServe tells whether the server could serve the request if it had room.
+// canServe reports whether the server could serve the request if it had a free slot.
 func (g *Group) canServe(now time.Duration, w *queuedRequest, b *backend) bool {
 	return b.ready(now) && (!w.Resume || b.spec.CanSuspend)
 }
 
-// finishesInTime tells whether the server would finish the request before its deadline. It keeps long
-// answers off slow servers: they would be canceled halfway, and their prefill thrown away.
+// finishesInTime reports whether the server would finish the request before its deadline. It keeps long
+// answers off slow servers, where they would be canceled halfway and their prefill wasted.
 func (g *Group) finishesInTime(now time.Duration, w *queuedRequest, b *backend) bool {
 	if ignoresTiers(g.service.Policy) {
 		return true
@@ -139,7 +142,7 @@
 	return g.reservePercent[priority]
 }
 
-// grantSlot takes the slot and grants it.
+// grantSlot reserves a slot and emits the grant.
 func (g *Group) grantSlot(now time.Duration, w *queuedRequest, b *backend) {
 	g.queue.serve(w)
 	g.grants++
@@ -149,11 +152,12 @@
 		grantedAt: now, confirmedAt: now, uncached: b.uncached(&w.Request),
 	})
 	b.prefixes.add(w.Prefix)
-	g.inv.Check(!b.spec.Leaving, "grant of %d on leaving backend server %s", w.Key.Request, b.spec.Name)
+	g.inv.Check(!b.spec.Leaving, "granted request %d a slot on leaving backend server %s", w.Key.Request, b.spec.Name)
 	g.decisions = append(g.decisions, Grant{w.Key, w.Attempt, b.spec.Name, g.opt.Lease})
 }
 
-// admit refuses at once what cannot be served in time.
+// admit refuses requests that cannot be served in time. It returns ok, or the kind of refusal and a retry
+// delay.
 func (g *Group) admit(now time.Duration, w *queuedRequest) (fault.Kind, time.Duration, bool) {
 	if len(g.sortedNames) == 0 || !g.anyActive() {
 		return fault.NoBackend, time.Second, false
@@ -167,7 +171,7 @@
 	if w.Spilled && !g.acceptsSpill(w.Priority) {
 		return fault.Overloaded, minRetryAfter, false
 	}
-	// Lower work can still make room: then the wait cannot be known, and nothing is shed.
+	// Runs of a lower priority can still be preempted, so the wait is unknown and nothing is refused.
 	if g.countRunningBelow(w.Priority) > 0 {
 		return "", 0, true
 	}
@@ -177,8 +181,8 @@
 	return "", 0, true
 }
 
-// acceptsSpill tells whether work of another availability zone is welcome: only where it starts at
-// once, on a free slot or in the place of lower work. So two zones cannot fill each other's queues.
+// acceptsSpill reports whether requests spilled from another availability zone are accepted: only if they
+// start at once, on a free slot or by preemption. This keeps two zones from filling each other's queues.
 func (g *Group) acceptsSpill(priority uint32) bool {
 	if g.queue.hasWaitingFrom(priority) {
 		return false
@@ -204,7 +208,8 @@
 	return fromMS(g.queue.costAhead(w) / float64(slots))
 }
 
-// allMeasured tells whether the estimates rest on what every server in use has shown.
+// allMeasured reports whether every server in use has samples, so that estimates do not rest on initial
+// values.
 func (g *Group) allMeasured() bool {
 	for _, b := range g.backends {
 		if !b.spec.Leaving && b.samples == 0 {
@@ -232,11 +237,11 @@
 	return n
 }
 
-// enforceQueueBound sheds from the bottom once the queue is over its bound.
+// enforceQueueBound sheds the lowest-ranked requests while the queue is over its bound.
 //
-// It guards against shedding urgent work while lower work runs: a request is only shed when no
-// lower run is left that could make room; until then the queue may go over its bound, up to a hard
-// one, and the lower runs are displaced at once instead of after DisplaceAfter.
+// A request is shed only if no run of a lower priority is left that could be preempted for it. Until then
+// the queue may exceed its bound, up to a hard bound, and those runs are preempted at once instead of
+// after DisplaceAfter.
 func (g *Group) enforceQueueBound(now time.Duration) {
 	bound := max(g.opt.MinQueue, g.opt.QueuePerSlot*g.totalSlots())
 	for g.queue.len() > bound {
@@ -259,7 +264,7 @@
 func (g *Group) shed(now time.Duration, w *queuedRequest) {
 	if !ignoresTiers(g.service.Policy) {
 		r := g.selectVictim(now, w)
-		g.inv.Check(r == nil, "shed %d at priority %d while lower work runs", w.Key.Request, w.Priority)
+		g.inv.Check(r == nil, "shed request %d at priority %d while runs of a lower priority could be preempted", w.Key.Request, w.Priority)
 	}
 	wait := clampRetryAfter(g.estimateWait(w))
 	g.queue.remove(w)
@@ -270,7 +275,8 @@
 	g.decisions = append(g.decisions, Refuse{w.Key, w.Attempt, kind, after})
 }
 
-// expire ends waits that can no longer meet their deadline; they are answered at once, not held.
+// expire refuses requests that can no longer meet their deadline, so that callers get their answer at
+// once.
 func (g *Group) expire(now time.Duration) {
 	for g.queue.len() > 0 && g.queue.expiry.Min().latestStart < now {
 		w := g.queue.expiry.Min()
@@ -284,14 +290,14 @@
 	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// Summary is what the group tells other hosts.
+// Summary is the load of a group as reported to other hosts.
 type Summary struct {
 	Free          int
 	Waiting       int
-	LowestRunning int // -1 when idle
+	LowestRunning int // lowest priority of the runs, -1 if there are none
 }
 
-// Summary counts free slots over the servers that may get work.
+// Summary returns the load of the group; only servers that may get requests count for free slots.
 func (g *Group) Summary(now time.Duration) Summary {
 	s := Summary{Waiting: g.queue.len(), LowestRunning: -1}
 	for _, b := range g.backends {
@@ -308,7 +314,7 @@
 	return s
 }
 
-// BackendStatus is one server as operators see it.
+// BackendStatus is the state of one backend server as shown to operators.
 type BackendStatus struct {
 	Name     string  `json:"name"`
 	Zone     string  `json:"zone"`
@@ -321,7 +327,7 @@
 	Interval float64 `json:"token_interval_ms"`
 }
 
-// Status lists the servers, by name.
+// Status returns the state of the servers, sorted by name.
 func (g *Group) Status(now time.Duration) []BackendStatus {
 	out := make([]BackendStatus, 0, len(g.sortedNames))
 	for _, name := range g.sortedNames {
@@ -332,7 +338,7 @@
 	return out
 }
 
-// Suspendable tells whether a service kind lets running work be displaced.
+// suspendable reports whether runs on a backend server can be suspended.
 func (g *Group) suspendable(b *backend) bool {
 	return g.service.Kind == record.ServiceModel && b.spec.CanSuspend
 }
--- a/internal/sched/policy.go
+++ b/internal/sched/policy.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// scorer ranks the backend servers that passed the filter; the least score wins, ties go by name.
-// A policy is named in the service record. All but "cost" are baselines to measure it against.
+// scorer scores the backend servers that passed the filter. The lowest score wins; ties go to the first
+// name. The service record names the policy; all but "cost" are baselines for comparison.
 type scorer func(g *Group, r *Request, b *backend) float64
 
 var scorers = map[string]scorer{
@@ -20,17 +20,17 @@
 	"prefix":       scorePrefix,
 }
 
-// UsesLoadReports tells whether a policy goes by the engines' own load reports.
+// UsesLoadReports reports whether a policy scores by the engines' own load reports.
 func UsesLoadReports(policy string) bool { return policy == "least-loaded" || policy == "two-choices" }
 
-// ignoresTiers tells whether a policy serves first come, first served.
+// ignoresTiers reports whether a policy serves requests in order of arrival.
 func ignoresTiers(policy string) bool { return policy != "cost" }
 
-// fillPenalty weighs how much a filling engine slows the rest of an answer.
+// fillPenalty is the estimated relative slowdown of an answer on a full engine.
 const fillPenalty = 0.5
 
-// scoreCost estimates the finish: uncached prefill, then tokens at the server's learned interval,
-// slower as the server fills.
+// scoreCost estimates the duration: uncached prefill, then tokens at the learned interval of the server,
+// longer the fuller the server is.
 func scoreCost(g *Group, r *Request, b *backend) float64 {
 	fill := float64(len(b.runs)) / float64(b.limit())
 	return b.estimate(r, g.expectedOutputRatio()) * (1 + fillPenalty*fill)
@@ -50,7 +50,7 @@
 	return float64(b.reportedLoad) / float64(b.spec.Slots)
 }
 
-// scoreTwoChoices compares the reported load of two servers drawn at random.
+// scoreTwoChoices compares the reported load of two servers chosen at random.
 func scoreTwoChoices(g *Group, r *Request, b *backend) float64 {
 	const notDrawn = 1e9
 	better := 0
--- a/internal/sched/prefix.go
+++ b/internal/sched/prefix.go
@@ -2,12 +2,12 @@
 
 import "container/list"
 
-// maxCachedPrefixes bounds what is believed of one engine's cache.
+// maxCachedPrefixes is the maximum number of prefixes tracked per engine.
 const maxCachedPrefixes = 2048
 
-// prefixCache is a belief on which prompt prefixes an engine holds: what we sent there lately,
-// least recently used first to go, corrected by the engine's cache events when they come. A wrong
-// belief costs prefill that was not expected, never correctness.
+// prefixCache is an LRU estimate of the prompt prefixes that an engine has cached: those recently sent
+// there, minus those that the engine reported as evicted. A wrong estimate costs unexpected prefill but
+// never affects correctness.
 type prefixCache struct {
 	order    *list.List
 	elements map[uint32]*list.Element
@@ -17,7 +17,7 @@
 	return &prefixCache{order: list.New(), elements: map[uint32]*list.Element{}}
 }
 
-// add notes that a prompt with these prefixes was sent.
+// add records that a prompt with these prefixes was sent.
 func (c *prefixCache) add(hashes []uint32) {
 	for _, h := range hashes {
 		if e, ok := c.elements[h]; ok {
@@ -31,7 +31,7 @@
 	}
 }
 
-// remove notes an eviction.
+// remove records an eviction.
 func (c *prefixCache) remove(hash uint32) {
 	if e, ok := c.elements[hash]; ok {
 		c.order.Remove(e)
@@ -39,7 +39,7 @@
 	}
 }
 
-// matched is how many prompt tokens are believed cached. Prefix i is tokensPerBlock<<i tokens long.
+// matched returns the estimated number of cached prompt tokens. Prefix i has tokensPerBlock<<i tokens.
 func (c *prefixCache) matched(hashes []uint32, promptTokens uint32) uint32 {
 	for i := len(hashes) - 1; i >= 0; i-- {
 		if _, ok := c.elements[hashes[i]]; ok {
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -9,37 +9,37 @@
 	"fireflyshift/internal/indexheap"
 )
 
-// queuedRequest is a request in the queue.
+// queuedRequest is a waiting request with its positions in the queue.
 type queuedRequest struct {
 	Request
 	arrived time.Duration
-	// latestStart is the last moment at which a start could still meet the deadline.
+	// latestStart is the latest time at which a start could still meet the deadline.
 	latestStart      time.Duration
 	cost             float64 // estimated slot-milliseconds
 	workspaceElement *list.Element
 	arrivalElement   *list.Element
 	parent           *workspaceQueue
-	expiryIndex      int // in the expiry heap
-	costIndex        int // in the workspace's heap by cost
+	expiryIndex      int // index in the expiry heap
+	costIndex        int // index in the workspace's cost heap
 }
 
-// workspaceQueue is the line of one workspace inside one tier. The shortest work is served first:
-// where not all can be answered in time, most are answered so, and a short tag does not wait behind
-// a long summary. What is shed is the newest.
+// workspaceQueue holds the waiting requests of one workspace in one tier. The shortest is served first: if
+// not all can be answered in time, this answers the most, and a short request does not wait behind a long
+// one. The newest is shed first.
 type workspaceQueue struct {
 	name        string
 	weight      float64
-	byArrival   *list.List // by arrival
-	byCost      costHeap   // by cost
-	totalCost   float64    // estimated work in the line
-	virtualTime float64    // weighted work served; the least is served next
-	heapIndex   [2]int     // positions in the two heaps
+	byArrival   *list.List
+	byCost      costHeap
+	totalCost   float64 // of all waiting requests
+	virtualTime float64 // work served divided by the weight; the lowest is served next
+	heapIndex   [2]int  // indexes in the heaps byVirtualTime and byBacklog
 }
 
-// backlog is what the longest-line eviction compares.
+// backlog is the weighted queue length, which decides whose requests are shed first.
 func (w *workspaceQueue) backlog() float64 { return float64(w.byArrival.Len()) / w.weight }
 
-// costHeap orders the requests of one workspace by estimated work, then by arrival.
+// costHeap orders the requests of one workspace by estimated cost, then by arrival.
 type costHeap = *indexheap.Heap[*queuedRequest]
 
 func newCostHeap() costHeap {
@@ -55,7 +55,7 @@
 	return indexheap.New(less, func(w *queuedRequest, i int) { w.costIndex = i })
 }
 
-// expiryHeap orders waiting requests by the last useful start.
+// expiryHeap orders waiting requests by their latest start.
 type expiryHeap = *indexheap.Heap[*queuedRequest]
 
 func newExpiryHeap() expiryHeap {
@@ -68,7 +68,7 @@
 	return indexheap.New(less, func(w *queuedRequest, i int) { w.expiryIndex = i })
 }
 
-// workspaceHeap orders the workspaces of a tier by one of two measures.
+// workspaceHeap orders the workspaces of a tier by virtual time or by backlog.
 type workspaceHeap = *indexheap.Heap[*workspaceQueue]
 
 const (
@@ -94,21 +94,22 @@
 	longest      workspaceHeap // by backlog
 	virtualFloor float64       // virtual time of the latest service
 	count        int
-	activeWeight float64              // of the workspaces that wait
-	costByBucket [costBuckets]float64 // waiting work by the size of its requests
+	activeWeight float64              // total weight of the workspaces with waiting requests
+	costByBucket [costBuckets]float64 // waiting cost by size of the request
 }
 
-// minWeight is the least that a workspace record can give.
+// minWeight is the lowest weight that a workspace record can set.
 const minWeight = 0.01
 
-// costBuckets are powers of two of estimated slot-milliseconds.
+// costBuckets is the number of buckets; bucket i holds costs below 2^i slot-milliseconds.
 const costBuckets = 32
 
 func bucketOf(cost float64) int {
 	return min(costBuckets-1, bits.Len64(uint64(max(cost, 0))))
 }
 
-// costUpTo is the work that waits in requests no longer than a given one, to a factor of two.
+// costUpTo returns the cost of the waiting requests that are not larger than a given cost, to a factor of
+// two.
 func (t *tierQueue) costUpTo(cost float64) float64 {
 	sum := 0.0
 	for b := 0; b <= bucketOf(cost); b++ {
@@ -117,7 +118,7 @@
 	return sum
 }
 
-// maxIdleWorkspaces bounds the workspaces remembered without work in the queue.
+// maxIdleWorkspaces limits the workspaces that are tracked without waiting requests.
 const maxIdleWorkspaces = 4096
 
 func newTierQueue() *tierQueue {
@@ -172,7 +173,7 @@
 	t.fixHeaps(q)
 }
 
-// head is the request to serve next, nil if none waits.
+// head returns the request to serve next, nil if none waits.
 func (t *tierQueue) head() *queuedRequest {
 	if t.count == 0 {
 		return nil
@@ -180,7 +181,7 @@
 	return t.next.Min().byCost.Min()
 }
 
-// heads are the next requests of up to n workspaces, the one to serve next first.
+// heads returns the next requests of up to n workspaces, the one to serve next first.
 func (t *tierQueue) heads(n int) []*queuedRequest {
 	var out []*queuedRequest
 	for _, q := range t.next.Top(n) {
@@ -189,7 +190,8 @@
 	return out
 }
 
-// shedCandidate is the request to shed first: the newest of the workspace with the greatest weighted backlog.
+// shedCandidate returns the request to shed first: the newest of the workspace with the largest weighted
+// backlog.
 func (t *tierQueue) shedCandidate() *queuedRequest {
 	if t.count == 0 {
 		return nil
@@ -197,7 +199,7 @@
 	return t.longest.Min().byArrival.Back().Value.(*queuedRequest)
 }
 
-// serve removes the head and charges its workspace.
+// serve removes a request and charges its cost to its workspace.
 func (t *tierQueue) serve(w *queuedRequest) {
 	q := w.parent
 	t.virtualFloor = max(t.virtualFloor, q.virtualTime)
@@ -216,15 +218,15 @@
 	}
 }
 
-// queue holds all that waits in a group. Every operation costs at most the logarithm of its size.
-// Suspended requests have lines of their own: they need a server that imports KV cache, and must
-// not hold up fresh work that other servers could take.
+// queue holds the waiting requests of a group. Every operation takes at most logarithmic time. Suspended
+// requests are queued separately: they need a server that can import their KV cache, and must not block
+// new requests that other servers could take.
 type queue struct {
 	newRequests [NumPriorities]*tierQueue
 	resumed     [NumPriorities]*tierQueue
 	byKey       map[Key]*queuedRequest
 	expiry      expiryHeap
-	arrival     *list.List // all, for the policy that serves first come, first served
+	arrival     *list.List // all requests, for policies that serve in order of arrival
 }
 
 func newQueue() *queue {
@@ -268,12 +270,12 @@
 	q.arrival.Remove(w.arrivalElement)
 }
 
-// countAt is how many requests wait at a priority.
+// countAt returns the number of requests that wait at a priority.
 func (q *queue) countAt(priority uint32) int {
 	return q.newRequests[priority].count + q.resumed[priority].count
 }
 
-// shedCandidate is the request to shed first: fresh work of the lowest tier before suspended work of it.
+// shedCandidate returns the request to shed first: of the lowest tier, new requests before suspended ones.
 func (q *queue) shedCandidate() *queuedRequest {
 	for p := 0; p < NumPriorities; p++ {
 		if w := q.newRequests[p].shedCandidate(); w != nil {
@@ -286,7 +288,7 @@
 	return nil
 }
 
-// oldest is the request that came first, whatever its tier and workspace.
+// oldest returns the request that arrived first, of any tier and workspace.
 func (q *queue) oldest() *queuedRequest {
 	e := q.arrival.Front()
 	if e == nil {
@@ -295,8 +297,8 @@
 	return e.Value.(*queuedRequest)
 }
 
-// costAhead is the estimated work that is served before a request: all of more urgent tiers, and of
-// its own what was suspended and what fair shares put before it.
+// costAhead estimates the cost that is served before a request: all of higher priorities, and of its own
+// priority the suspended requests and those that fair queuing puts before it.
 func (q *queue) costAhead(w *queuedRequest) float64 {
 	sum := q.resumed[w.Priority].costUpTo(math.MaxInt64) + q.newRequests[w.Priority].costBefore(w)
 	for p := int(w.Priority) + 1; p < NumPriorities; p++ {
@@ -305,8 +307,8 @@
 	return sum
 }
 
-// costBefore is the work of a tier that is served before a request: at most what is no longer than
-// itself, and at most its workspace's own line stretched by the workspace's share of the slots.
+// costBefore estimates the cost of a tier that is served before a request: at most the requests that are
+// not larger, and at most those of its own workspace divided by that workspace's share of the slots.
 func (t *tierQueue) costBefore(w *queuedRequest) float64 {
 	weight, own := t.activeWeight, 0.0
 	if q, ok := t.workspaces[w.Workspace]; ok && q.byArrival.Len() > 0 {
@@ -318,7 +320,7 @@
 	return min(t.costUpTo(w.cost), stretched)
 }
 
-// hasWaitingFrom tells whether anything waits at a priority or above.
+// hasWaitingFrom reports whether a request waits at a priority or above.
 func (q *queue) hasWaitingFrom(priority uint32) bool {
 	for p := int(priority); p < NumPriorities; p++ {
 		if q.countAt(uint32(p)) > 0 {
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -1,6 +1,7 @@
-// Package sched decides which waiting request runs on which backend server of one group. It is a
-// pure state machine: time comes in as an argument, decisions come out as data, and there is no
-// I/O, clock, goroutine or randomness inside. The cycle reads as filter, score, reserve, grant.
+// Package sched decides which waiting request runs on which backend server of one group. It is a pure
+// state machine: time is an argument, decisions are returned as data, and there is no I/O, clock,
+// goroutine or randomness. Each scheduling cycle filters and scores the backend servers, reserves a slot
+// and grants it.
 package sched
 
 import (
@@ -9,16 +10,16 @@
 	"fireflyshift/internal/fault"
 )
 
-// NumPriorities is the number of tier priorities; record.MaxPriority is the greatest.
+// NumPriorities is the number of tier priorities, 0 to record.MaxPriority.
 const NumPriorities = 16
 
-// Key names a request at the entry host that took it.
+// Key identifies a request by its entry host and its number there.
 type Key struct {
 	Host    string
 	Request uint64
 }
 
-// Less orders keys, so that choices do not depend on map order.
+// Less orders keys, so that decisions do not depend on map order.
 func (k Key) Less(o Key) bool {
 	if k.Host != o.Host {
 		return k.Host < o.Host
@@ -26,7 +27,7 @@
 	return k.Request < o.Request
 }
 
-// Request is what an entry host asks permission for.
+// Request is a slot request of an entry host.
 type Request struct {
 	Key           Key
 	Attempt       uint32
@@ -38,13 +39,13 @@
 	Prefix        []uint32
 	Deadline      time.Duration
 	NonIdempotent bool
-	// Resume tells that the request was suspended and holds exported KV cache.
+	// Resume reports that the request was suspended and has exported KV cache.
 	Resume bool
-	// Spilled tells that the request comes from another availability zone.
+	// Spilled reports that the request comes from another availability zone that could also serve it.
 	Spilled bool
 }
 
-// Held is what an entry host says it runs.
+// Held is a run as reported by its entry host.
 type Held struct {
 	Key           Key
 	Attempt       uint32
@@ -55,15 +56,15 @@
 	NonIdempotent bool
 }
 
-// Result is how a dispatch ended, as the entry host saw it.
+// Result is the end of a dispatch as reported by the entry host.
 type Result struct {
 	Key     Key
 	Attempt uint32
 	Backend string
 	Outcome Outcome
-	// FirstToken is the time from dispatch to the first token; zero if none came.
+	// FirstToken is the time from dispatch to the first token, zero if there was none.
 	FirstToken time.Duration
-	// Interval is the mean time between tokens; zero if unknown.
+	// Interval is the mean time between tokens, zero if unknown.
 	Interval time.Duration
 	Tokens   uint32
 	Prompt   uint32
@@ -72,21 +73,21 @@
 // Outcome classifies a Result.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a dispatch.
 const (
 	Done Outcome = iota + 1
-	// Unused is a grant that was not dispatched.
+	// Unused is a grant that was not used for a dispatch.
 	Unused
-	// Failed is a backend server that could not be reached or lost the answer.
+	// Failed is a dispatch whose backend server could not be reached or lost the answer.
 	Failed
 	Suspended
 	Canceled
 )
 
-// Decision is one effect of the state machine.
+// Decision is an output of the state machine: Grant, Refuse or Preempt.
 type Decision interface{ decision() }
 
-// Grant permits a dispatch to a backend server, within the lease.
+// Grant permits a dispatch to a backend server within the lease.
 type Grant struct {
 	Key     Key
 	Attempt uint32
@@ -94,7 +95,7 @@
 	Lease   time.Duration
 }
 
-// Refuse gives a request up. The work did not run under this attempt.
+// Refuse refuses a request. It did not run under this attempt.
 type Refuse struct {
 	Key        Key
 	Attempt    uint32
@@ -102,7 +103,7 @@
 	RetryAfter time.Duration
 }
 
-// Preempt asks the entry host to suspend a running request.
+// Preempt requests that the entry host suspend a running request.
 type Preempt struct {
 	Key     Key
 	Attempt uint32
@@ -112,27 +113,28 @@
 func (Refuse) decision()  {}
 func (Preempt) decision() {}
 
-// Options are the limits of a group. The zero value is not usable; see DefaultOptions.
+// Options are the settings of a group. The zero value is not usable; see DefaultOptions.
 type Options struct {
-	// Lease is how long a grant may wait for its dispatch.
+	// Lease is how long after a grant the dispatch may start.
 	Lease time.Duration
-	// DisplaceAfter is how long urgent work waits for a natural slot before it displaces.
+	// DisplaceAfter is how long a request waits for a slot before runs of a lower priority are preempted
+	// for it.
 	DisplaceAfter time.Duration
-	// PreemptTimeout is when an unanswered preemption stops counting as a coming slot.
+	// PreemptTimeout is when an unanswered preemption no longer counts as a slot about to become free.
 	PreemptTimeout time.Duration
-	// QueuePerSlot bounds the queue relative to the group's slots.
+	// QueuePerSlot is the queue bound per slot of the group.
 	QueuePerSlot int
-	// MinQueue is the least bound of the queue.
+	// MinQueue is the lower limit of the queue bound.
 	MinQueue int
-	// OrphanGrace keeps the slots of a lost entry host: its streams may still run.
+	// OrphanGrace is how long the runs of a lost entry host keep their slots: their streams may still run.
 	OrphanGrace time.Duration
-	// UnconfirmedTimeout frees a run that its entry host has not named for so long.
+	// UnconfirmedTimeout is when a run is freed that its entry host has not confirmed.
 	UnconfirmedTimeout time.Duration
-	// SettleTimeout is how long a new scheduler listens for Holdings before it grants.
+	// SettleTimeout is how long a new scheduler waits for holdings before it grants.
 	SettleTimeout time.Duration
 }
 
-// DefaultOptions are the values the daemon uses.
+// DefaultOptions returns the values that the daemon uses.
 func DefaultOptions() Options {
 	return Options{
 		Lease:              2 * time.Second,
--- a/test/surface_test.go
+++ b/test/surface_test.go
@@ -107,7 +107,7 @@
 	out, code := ctl("explain", a.Request, "--host", b.specs["a2"].Admin, "--host", b.specs["a1"].Admin)
 	require.Zero(t, code, out)
 	require.Contains(t, out, "dispatched to e1")
-	require.Contains(t, out, "answered whole by e1")
+	require.Contains(t, out, "complete answer from e1")
 	_, code = ctl("explain", "nobody", "--host", b.specs["a1"].Admin)
 	require.Equal(t, 1, code)
 	_, code = ctl("status", "--host", "127.0.0.1:1")
