--- a/internal/core/claim.go
+++ b/internal/core/claim.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// claimAgainAfter repeats an unanswered claim; claimTimeout gives it up.
-	claimAgainAfter = 300 * time.Millisecond
-	claimTimeout    = 2 * time.Second
+	// claimRetryInterval is when an unanswered claim is repeated, claimTimeout when it fails.
+	claimRetryInterval = 300 * time.Millisecond
+	claimTimeout       = 2 * time.Second
 )
 
-// holder names one try of one caller: a second try has another request id.
-func (c *Core) holder(r *request) string { return c.opt.Self.ID + "/" + r.ID }
+// claimHolder identifies one attempt of a caller: a retry has another request ID.
+func (c *Core) claimHolder(r *request) string { return c.opt.Self.ID + "/" + r.ID }
 
-// claim asks the ticket's home for the one permission to run. Nothing is dispatched without it.
+// claim requests the ticket's claim from its home, the only permission to run. Nothing is dispatched
+// without it.
 func (c *Core) claim(r *request) {
 	r.phase = claiming
-	r.since = c.now
+	r.requestedAt = c.now
 	if r.Ticket.Home == c.opt.Self.ID {
-		c.claimed(r, c.tickets.Claim(c.now, *r.Ticket, r.Workspace, c.holder(r)))
+		c.claimDecided(r, c.tickets.Claim(c.now, *r.Ticket, r.Workspace, c.claimHolder(r)))
 		return
 	}
 	if !c.sendClaim(r) {
-		c.finish(r, fault.New(fault.TicketHomeGone, "host %s is unknown here", r.Ticket.Home))
+		c.finish(r, fault.New(fault.TicketHomeGone, "the ticket's home, host %s, is not known to this host", r.Ticket.Home))
 		return
 	}
-	c.wakeAt(r, c.now+claimAgainAfter)
+	c.setTimer(r, c.now+claimRetryInterval)
 }
 
 func (c *Core) sendClaim(r *request) bool {
@@ -37,16 +38,16 @@
 		Ticket: r.Ticket.String(), Workspace: r.Workspace, Request: r.ID}}})
 }
 
-func (c *Core) claimAgain(r *request) {
-	if c.now-r.since >= claimTimeout {
-		c.finish(r, fault.New(fault.TicketHomeGone, "host %s does not answer", r.Ticket.Home))
+func (c *Core) retryClaim(r *request) {
+	if c.now-r.requestedAt >= claimTimeout {
+		c.finish(r, fault.New(fault.TicketHomeGone, "the ticket's home, host %s, does not answer", r.Ticket.Home))
 		return
 	}
 	c.sendClaim(r)
-	c.wakeAt(r, c.now+claimAgainAfter)
+	c.setTimer(r, c.now+claimRetryInterval)
 }
 
-// claimTicket answers as a home.
+// claimTicket answers a claim as the home of the ticket.
 func (c *Core) claimTicket(from string, m *peerpb.ClaimTicket) {
 	verdict := ticket.Expired
 	if t, err := ticket.Parse(m.Ticket); err == nil {
@@ -61,29 +62,29 @@
 	if !ok || r.phase != claiming || r.Ticket.Home != from {
 		return
 	}
-	c.claimed(r, ticket.Verdict(m.Claim))
+	c.claimDecided(r, ticket.Verdict(m.Claim))
 }
 
-func (c *Core) claimed(r *request, v ticket.Verdict) {
+func (c *Core) claimDecided(r *request, v ticket.Verdict) {
 	switch v {
-	case ticket.Yours:
-		c.trace(r, "holds its ticket")
-		c.seek(r)
+	case ticket.Granted:
+		c.trace(r, "holds the claim on its ticket")
+		c.requestSlot(r)
 	case ticket.InProgress:
-		c.finish(r, fault.New(fault.TicketInProgress, "an earlier try holds the ticket"))
+		c.finish(r, fault.New(fault.TicketInProgress, "an earlier attempt holds the ticket"))
 	case ticket.Done:
-		c.finish(r, fault.New(fault.TicketDone, "the ticket's work ran"))
+		c.finish(r, fault.New(fault.TicketDone, "the request with this ticket has already run"))
 	case ticket.OtherIncarnation:
-		c.finish(r, fault.New(fault.TicketHomeGone, "host %s was replaced since it issued the ticket", r.Ticket.Home))
+		c.finish(r, fault.New(fault.TicketHomeGone, "host %s has been replaced since it issued the ticket", r.Ticket.Home))
 	default:
 		c.finish(r, fault.New(fault.TicketExpired, "the ticket is older than %s", ticket.TTL))
 	}
 }
 
-// settle tells the home how a claim ended.
-func (c *Core) settle(r *request, notRun bool) {
+// sendSettlement reports to the home how a claim ended.
+func (c *Core) sendSettlement(r *request, notRun bool) {
 	if r.Ticket.Home == c.opt.Self.ID {
-		c.tickets.Settle(*r.Ticket, r.Workspace, c.holder(r), notRun)
+		c.tickets.Settle(*r.Ticket, r.Workspace, c.claimHolder(r), notRun)
 		return
 	}
 	c.send(r.Ticket.Home, &peerpb.Message{Body: &peerpb.Message_SettleTicket{SettleTicket: &peerpb.SettleTicket{
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -4,7 +4,7 @@
 	"fireflyshift/internal/sched"
 )
 
-// Status is what operators see of a host.
+// Status is the state of a host as shown to operators.
 type Status struct {
 	Host        string        `json:"host"`
 	Zone        string        `json:"zone"`
@@ -22,28 +22,30 @@
 	Groups      []GroupStatus `json:"groups"`
 	Refused     []Refused     `json:"refused_records"`
 	Tickets     int           `json:"ticket_claims"`
-	// Beliefs are a host's of the users' platform, where each decides alone; empty elsewhere.
-	Beliefs []BeliefStatus `json:"beliefs,omitempty"`
-	// StoreAgeMS is how old the latest word of the platform's store is there; -1 where there is none.
+	// Backends are the backend servers as seen by a host of the users' platform, where each host decides
+	// on its own; empty elsewhere.
+	Backends []BackendStatus `json:"beliefs,omitempty"`
+	// StoreAgeMS is the age of the latest update from the platform's store there, -1 if there is none.
 	StoreAgeMS int64 `json:"store_age_ms"`
-	// StoreEra is how often that store has come back from an older copy, as it counts.
+	// StoreEra counts how often that store was restored from an older copy.
 	StoreEra uint64 `json:"store_era,omitempty"`
-	// Quarantined are requests that are kept from backend servers there, Suspects how many are remembered.
+	// Quarantined are the requests that are kept from backend servers there. Suspects is the number of
+	// requests under observation, including these.
 	Quarantined []QuarantineStatus `json:"quarantined,omitempty"`
 	Suspects    int                `json:"suspects,omitempty"`
 }
 
-// QuarantineStatus is a request that is kept from backend servers, as it has ended several of them.
+// QuarantineStatus is a request that is kept from backend servers because it has ended several of them.
 type QuarantineStatus struct {
-	Digest    string `json:"digest"`
-	Workspace string `json:"workspace"`
-	Ends      int    `json:"ends"`
-	AgeMS     int64  `json:"latest_end_age_ms"`
-	BackMS    int64  `json:"next_trial_ms"`
+	Digest      string `json:"digest"`
+	Workspace   string `json:"workspace"`
+	Ends        int    `json:"ends"`
+	AgeMS       int64  `json:"latest_end_age_ms"`
+	NextTrialMS int64  `json:"next_trial_ms"`
 }
 
-// BeliefStatus is what a host believes of one backend server.
-type BeliefStatus struct {
+// BackendStatus is the state of a backend server as seen by a host.
+type BackendStatus struct {
 	Name       string  `json:"name"`
 	Service    string  `json:"service"`
 	Zone       string  `json:"zone"`
@@ -56,7 +58,7 @@
 	IntervalMS float64 `json:"interval_ms"`
 }
 
-// PeerStatus is another host as this one sees it.
+// PeerStatus is another host as seen by this one.
 type PeerStatus struct {
 	Host  string `json:"host"`
 	Zone  string `json:"zone"`
@@ -73,7 +75,8 @@
 	Backends []sched.BackendStatus `json:"backends"`
 }
 
-// Refused is a published record that is not in force, and why.
+// Refused is a published record that this host refuses, with the reason and the revision that is in force
+// instead.
 type Refused struct {
 	Record   string `json:"record"`
 	Revision uint64 `json:"revision"`
@@ -81,7 +84,7 @@
 	Reason   string `json:"reason"`
 }
 
-// Status gathers what operators see.
+// Status returns the state of this host for operators.
 func (c *Core) Status() Status {
 	s := Status{
 		Host:        c.opt.Self.ID,
@@ -93,13 +96,13 @@
 		Revision:    c.conf.Revision(),
 		Digest:      c.conf.Digest(),
 		Suspects:    len(c.suspects.ledger.Cases()),
-		Reading:     c.duty.reading == onDuty,
-		PlatformOK:  c.gossip.everRead && !c.gossip.failing,
+		Reading:     c.roles.readMode == reading,
+		PlatformOK:  c.gossip.platformRead && !c.gossip.failing,
 		Requests:    len(c.entry.requests),
 		Violations:  c.inv.Total(),
 		Tickets:     c.tickets.Len(),
 	}
-	for _, h := range c.view.Zone() {
+	for _, h := range c.view.ZonePeers() {
 		s.Peers = append(s.Peers, PeerStatus{Host: h.ID, Zone: h.Zone, Addr: h.Addr, Alive: c.view.Alive(c.now, h.ID)})
 	}
 	for _, k := range c.groupKeys() {
@@ -111,7 +114,7 @@
 	}
 	for _, q := range c.suspects.ledger.Quarantined() {
 		s.Quarantined = append(s.Quarantined, QuarantineStatus{Digest: q.Digest.String(), Workspace: q.Workspace, Ends: len(q.Ends),
-			AgeMS: (c.now - q.Ends[len(q.Ends)-1].At).Milliseconds(), BackMS: max(0, q.TrialAt()-c.now).Milliseconds()})
+			AgeMS: (c.now - q.Ends[len(q.Ends)-1].At).Milliseconds(), NextTrialMS: max(0, q.TrialAt()-c.now).Milliseconds()})
 	}
 	return s
 }
--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -26,7 +26,7 @@
 	g         *Gateway
 	w         http.ResponseWriter
 	r         *http.Request
-	call      Call
+	call      RequestInfo
 	route     *routing.Route
 	workspace *routing.Workspace
 	rank      float64
@@ -42,7 +42,7 @@
 	headWritten bool
 	lastEvent   int64
 	held        *heldAnswer
-	grounds     router.Grounds
+	grounds     router.DecisionBasis
 	backend     string
 	attempts    int
 	// mayHaveRun tells that bytes of the request have left this host, also where a backend server says that it has not
@@ -105,7 +105,7 @@
 	}
 	rc := http.NewResponseController(f.w)
 	_ = rc.SetReadDeadline(f.deadline)
-	stop := ingress.CutReads(f.g.ending, rc)
+	stop := ingress.AbortReads(f.g.ending, rc)
 	body, err := io.ReadAll(io.LimitReader(f.r.Body, bodyBuffer))
 	stop()
 	var tooLarge *http.MaxBytesError
@@ -162,7 +162,7 @@
 		case router.Dispatch:
 			f.backend, f.attempts = e.Backend.ID, e.Attempt
 			if e.Attempt == 1 {
-				f.grounds = e.Grounds
+				f.grounds = e.Basis
 			}
 			f.logDispatch(e)
 			end := f.dispatch(e)
@@ -177,7 +177,7 @@
 				return
 			}
 		case router.Refuse:
-			f.grounds = e.Grounds
+			f.grounds = e.Basis
 			f.refuseFor(e)
 			return
 		case router.GiveUp:
@@ -194,7 +194,7 @@
 		f.logEnd("caller_left", 0)
 		panic(http.ErrAbortHandler)
 	case f.mayHaveRun:
-		f.giveUp(router.GiveUp{Cause: cutByShutdown, PassOn: true})
+		f.giveUp(router.GiveUp{Cause: cutByShutdown, DeliverFailure: true})
 	default:
 		f.refuse(http.StatusServiceUnavailable, string(router.ShutDown), router.DrainBack)
 	}
@@ -202,7 +202,7 @@
 
 // digestOf names the request in the end of a dispatch that may say something of it: its answer broke, or it succeeded though
 // requests are under suspicion.
-func (f *flight) digestOf(end router.Ended) quarantine.Digest {
+func (f *flight) digestOf(end router.DispatchEnded) quarantine.Digest {
 	switch end.Outcome {
 	case router.Broken, router.TimedOut, router.Canceled:
 		return f.digest()
@@ -247,12 +247,12 @@
 }
 
 // dispatch sends the request once and carries the answer.
-func (f *flight) dispatch(d router.Dispatch) router.Ended {
+func (f *flight) dispatch(d router.Dispatch) router.DispatchEnded {
 	if f.g.ended() {
-		return router.Ended{Outcome: router.Canceled}
+		return router.DispatchEnded{Outcome: router.Canceled}
 	}
 	if !f.permitted(d) {
-		return router.Ended{Outcome: router.NotSent}
+		return router.DispatchEnded{Outcome: router.NotSent}
 	}
 	ctx, cancel := context.WithCancel(f.r.Context())
 	defer cancel()
@@ -306,17 +306,17 @@
 // stalled asks the reducer whether to give a silent backend server up.
 func (f *flight) stalled() bool {
 	f.g.control.Post(router.Stalled{ID: f.id})
-	v, ok := (<-f.effects).(router.Verdict)
-	if ok && v.Move {
+	v, ok := (<-f.effects).(router.StallDecision)
+	if ok && v.Reassign {
 		f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Int64("last_event", f.lastEvent).Msg("Silent for long. Moves.")
 	}
-	return ok && v.Move
+	return ok && v.Reassign
 }
 
 func (f *flight) request(d router.Dispatch) *upstream.Request {
 	h := f.r.Header.Clone()
 	dropHop(h)
-	s := Send{Backend: d.Backend.ID, Left: time.Until(f.deadline)}
+	s := DispatchInfo{Backend: d.Backend.ID, Left: time.Until(f.deadline)}
 	if f.workspace != nil {
 		s.Workspace = f.workspace.Name
 	}
@@ -327,7 +327,7 @@
 	req := &upstream.Request{
 		Method: f.r.Method, Target: f.r.RequestURI, Host: f.r.Host, Header: h,
 		Body: f.body, Length: int64(len(f.body)), Deadline: f.deadline,
-		Own: func(h http.Header) bool {
+		IsOwn: func(h http.Header) bool {
 			id := f.g.wire.Classify(0, h).AttemptID
 			return id == "" || id == f.call.AttemptID
 		},
@@ -335,32 +335,32 @@
 	if f.rest != nil {
 		req.Rest, req.Length = f.rest, f.r.ContentLength
 	}
-	req.Keep = d.Keep
+	req.MaxIdle = d.MaxIdleConns
 	req.Permitted = func() bool { return f.permitted(d) }
-	req.Stall, _ = f.stall()
-	req.Stalled = f.stalled
+	req.StallTimeout, _ = f.stall()
+	req.OnStall = f.stalled
 	return req
 }
 
 // failed classifies a call that brought no answer.
-func (f *flight) failed(sent bool, err error) router.Ended {
+func (f *flight) failed(sent bool, err error) router.DispatchEnded {
 	switch {
 	case f.r.Context().Err() != nil || f.g.ended():
-		return router.Ended{Outcome: router.Canceled}
+		return router.DispatchEnded{Outcome: router.Canceled}
 	case !sent && !time.Now().Before(f.deadline):
-		return router.Ended{Outcome: router.NotSent}
+		return router.DispatchEnded{Outcome: router.NotSent}
 	case errors.Is(err, upstream.ErrNotPermitted):
 		f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Msg("Decision too old to send on.")
-		return router.Ended{Outcome: router.NotSent} // says nothing of the backend server
+		return router.DispatchEnded{Outcome: router.NotSent} // says nothing of the backend server
 	case !sent:
 		f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Err(err).Msg("Not sent.")
-		return router.Ended{Outcome: router.NotSent, Fault: true}
+		return router.DispatchEnded{Outcome: router.NotSent, Fault: true}
 	case !time.Now().Before(f.deadline):
-		return router.Ended{Outcome: router.TimedOut}
+		return router.DispatchEnded{Outcome: router.TimedOut}
 	default:
 		f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Err(err).Stringer("digest", f.digest()).
 			Int64("last_event", f.lastEvent).Msg("Broken after the send.")
-		return router.Ended{Outcome: f.once(router.Broken), Fault: true, Delivered: f.headWritten}
+		return router.DispatchEnded{Outcome: f.once(router.Broken), Fault: true, Delivered: f.headWritten}
 	}
 }
 
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -41,7 +41,7 @@
 	if r.table == nil {
 		return 0, false
 	}
-	if s := r.serviceOf(b); s != nil {
+	if s := r.serviceConfig(b); s != nil {
 		return s.ColdRate, true
 	}
 	return 0, true
@@ -49,7 +49,7 @@
 
 // presumeCold takes a backend server for cold that may be, though nothing says so yet.
 func (r *Router) presumeCold(b *backend) {
-	if s := r.serviceOf(b); s != nil && b.warming.until < r.now+s.ColdFor {
+	if s := r.serviceConfig(b); s != nil && b.warming.until < r.now+s.ColdFor {
 		r.setCold(b, s.ColdFor, "presumed")
 	}
 }
@@ -100,7 +100,7 @@
 // coldRate is this host's part of the rate of a cold backend server; zero where others send there.
 func (r *Router) coldRate(b *backend) float64 {
 	bound, _ := r.coldBound(b)
-	if bound <= 0 || r.now < coldAge || !r.direct(b.Zone) || r.hearsNobody() {
+	if bound <= 0 || r.now < coldAge || !r.exchangesHeartbeats(b.Zone) || r.hearsNobody() {
 		return 0
 	}
 	allowed := bound*max(1, r.opt.Bounds.ColdOver) + r.opt.Bounds.ColdSlack
@@ -110,7 +110,7 @@
 	mine := coldRank(b.hash, r.opt.Host)
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
-		if !r.direct(m.zone) {
+		if !r.exchangesHeartbeats(m.zone) {
 			continue
 		}
 		hosts++
@@ -155,6 +155,6 @@
 	if !b.cold(r.now) {
 		return
 	}
-	r.inv.Check(r.bears(b), "cold backend server %s gets more than this host's part", b.ID)
+	r.invariants.Check(r.bears(b), "cold backend server %s gets more than this host's part", b.ID)
 	b.warming.level--
 }
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -23,14 +23,14 @@
 func TestPullAsksOnlyForWhatIsMissing(t *testing.T) {
 	b := newBench(t, 1000) // complete as of revision 50
 	peer := newBench(t, 1000)
-	peer.post(News{FromStore: true, After: rev(50), AsOf: rev(90), Revision: rev(80), Changes: routing.Changes{
+	peer.post(Update{FromStore: true, After: rev(50), AsOf: rev(90), Revision: rev(80), Changes: routing.Changes{
 		Config: &routing.Config{Version: 9}, Backends: []routing.BackendChange{changeOf("new", 70, false), changeOf("e3", 80, true)}}})
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 9, Revision: 80, Digest: peer.r.digest()}
 	}
-	b.post(Heard{beat(1)})
+	b.post(HeartbeatReceived{beat(1)})
 	b.now += pullAfter + time.Millisecond
-	asked := effectsOf[Pull](b.post(Heard{beat(2)}))
+	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
 	require.Len(t, asked, 1)
 	require.Equal(t, Since{Revision: rev(50), Version: 1}, asked[0].Since)
 
@@ -38,7 +38,7 @@
 	require.Len(t, n.Backends, 2)
 	b.post(n)
 	require.Equal(t, peer.r.digest(), b.r.digest())
-	require.Equal(t, rev(90), b.r.news.complete)
+	require.Equal(t, rev(90), b.r.updates.complete)
 	require.Nil(t, b.r.Snapshot(Since{Revision: rev(90), Version: 9}).Config)
 }
 
@@ -46,15 +46,15 @@
 // the later one, or it would never ask for what it missed.
 func TestMissedChangeIsAskedFor(t *testing.T) {
 	b := newBench(t, 1)
-	b.post(News{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
-	require.Equal(t, rev(50), b.r.news.complete)
+	b.post(Update{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
+	require.Equal(t, rev(50), b.r.updates.complete)
 }
 
 // A backend server was removed while this host did not run. A peer that has not heard of it still names
 // it: the host must not send callers to an address that nobody has, or that another service has.
 func TestOldRegistrationFromAPeerIsNotTaken(t *testing.T) {
 	b := newBench(t, 1)
-	b.post(News{Revision: rev(40), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("ghost", 40, false)}}})
+	b.post(Update{Revision: rev(40), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("ghost", 40, false)}}})
 	require.Nil(t, b.r.backends["ghost"])
 }
 
@@ -71,31 +71,31 @@
 			ch.Zone = zone
 			list = append(list, ch)
 		}
-		b.post(News{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Backends: list}})
-		for i := 0; i < fullMesh; i++ {
-			b.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
+		b.post(Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Backends: list}})
+		for i := 0; i < maxFullMesh; i++ {
+			b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
 		for _, be := range b.r.backends {
-			be.own.counts[0] = 1
+			be.ownLoad.counts[0] = 1
 		}
 		return b
 	}
 	b := withServers()
 	s0 := b.r.backends["s0"]
-	b.post(Heard{&gossippb.Beat{Host: "10.0.2.1", Zone: "z2", Incarnation: 1, Seq: 1,
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.2.1", Zone: "z2", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: s0.hash, InFlight: counts{4}.pack()}}}})
-	sum := b.r.ownZoneSum()
-	loads := loadsOf(sum.Loads)
+	sum := b.r.ownZoneSummary()
+	loads := loadsFromProto(sum.Loads)
 	require.Equal(t, 5, loads[s0.hash].total(), "this zone's and the third zone's")
 	require.NotContains(t, loads, b.r.backends["s1"].hash)
 	require.NotContains(t, loads, b.r.backends["s2"].hash)
 
 	hearer := withServers()
 	hearer.r.opt.Zone = "z1"
-	hearer.post(Heard{&gossippb.Beat{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seq: 1}})
+	hearer.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seq: 1}})
 	sum.Speaker = "10.0.0.9"
 	hearer.r.opt.Host = "10.0.1.1"
-	hearer.post(Relayed{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
+	hearer.post(RelayReceived{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
 	require.Equal(t, 5, hearer.r.backends["s0"].inFlight(), "its own one is in the sum already")
 }
 
@@ -106,8 +106,8 @@
 	b := newBench(t, 0)
 	reads := func() []ReadStore { return effectsOf[ReadStore](b.post(Tick{})) }
 	require.Equal(t, []ReadStore{{On: true}}, reads())
-	for i := 0; i <= fullMesh; i++ {
-		b.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
+	for i := 0; i <= maxFullMesh; i++ {
+		b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
 	require.Equal(t, []ReadStore{{On: true, Shared: true}}, reads())
 	require.Empty(t, reads())
@@ -119,10 +119,10 @@
 // that had said so long that they leave.
 func TestManyChangesAtOnceReachTheZone(t *testing.T) {
 	reader := newBench(t, 0)
-	for i := 0; i <= fullMesh; i++ {
-		reader.r.meet(fmt.Sprintf("10.0.3.%d", i), "z3")
+	for i := 0; i <= maxFullMesh; i++ {
+		reader.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
-	reader.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
+	reader.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	var list []routing.BackendChange
 	for i := 0; i < 17; i++ {
 		ch := changeOf(fmt.Sprintf("e%d", i), uint64(60+i), false)
@@ -131,9 +131,9 @@
 	}
 	mate := newBench(t, 17)
 	told := 0
-	for _, e := range reader.post(News{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
-		if s, ok := e.(SendBeat); ok && len(s.Beat.Changes) > 0 {
-			mate.r.takeChanges(s.Beat.Changes)
+	for _, e := range reader.post(Update{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
+		if s, ok := e.(SendHeartbeat); ok && len(s.Heartbeat.Changes) > 0 {
+			mate.r.takeChanges(s.Heartbeat.Changes)
 			told++
 		}
 	}
@@ -153,9 +153,9 @@
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: 90, Digest: 7}
 	}
-	b.post(Heard{beat(1)})
+	b.post(HeartbeatReceived{beat(1)})
 	b.now += pullAfter + time.Millisecond
-	asked := effectsOf[Pull](b.post(Heard{beat(2)}))
+	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
 	require.Len(t, asked, 1)
 	require.Equal(t, rev(50), asked[0].Revision)
 }
@@ -168,7 +168,7 @@
 	b := newBench(t, 0)
 	data, err := json.Marshal([]routing.BackendChange{changeOf("late", 60, false)})
 	require.NoError(t, err)
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 2}})
-	b.post(Heard{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1, Changes: data}})
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 2}})
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1, Changes: data}})
 	require.Contains(t, b.r.backends, "late")
 }
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -28,7 +28,7 @@
 	b := &bench{t: t, now: time.Second}
 	b.r = New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1,
 		Bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000}})
-	n := News{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
+	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
 		Services: []routing.Service{{Name: "m", Model: true, TokensPerEvent: 3}}}}}
 	for i := 0; i < engines; i++ {
 		n.Backends = append(n.Backends, routing.BackendChange{Revision: rev(10), Backend: routing.Backend{ID: fmt.Sprintf("e%d", i), Addr: "a", Zone: "z0", Service: "m", Slots: 5, Model: true}})
@@ -71,7 +71,7 @@
 
 // learn lets an engine answer with a pace.
 func (b *bench) learn(engine string, pace time.Duration) {
-	b.r.backends[engine].learnPace(pace)
+	b.r.backends[engine].learnInterval(pace)
 }
 
 // A burst of hints fills every engine. A review that comes then must still find a place at each of
@@ -82,12 +82,12 @@
 	for {
 		if _, refused := b.submit(hint, routing.LeastUrgent, 100); refused != nil {
 			require.Equal(t, Overloaded, refused.Cause)
-			require.Positive(t, refused.After, "told when to come back")
+			require.Positive(t, refused.RetryAfter, "told when to come back")
 			break
 		}
 		hints++
 	}
-	require.Equal(t, 2*(5+headroom-2*perRank), hints)
+	require.Equal(t, 2*(5+headroom-2*headroomPerRank), hints)
 	reviews := 0
 	for {
 		if _, refused := b.submit(urgent, 0, 100); refused != nil {
@@ -95,7 +95,7 @@
 		}
 		reviews++
 	}
-	require.Equal(t, 2*2*perRank, reviews)
+	require.Equal(t, 2*2*headroomPerRank, reviews)
 }
 
 // Engines of a service differ fourfold in speed. Work goes where it shares the engine for the
@@ -132,7 +132,7 @@
 	b := newBench(t, 2)
 	dead := b.r.backends["e0"].hash
 	say := func(host string) {
-		b.post(Heard{&gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: 1, Dead: []uint32{dead}}})
+		b.post(HeartbeatReceived{&gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: 1, Dead: []uint32{dead}}})
 	}
 	say("10.0.0.2")
 	engine, _ := b.submit(urgent, 0, 10)
@@ -149,11 +149,11 @@
 func TestEnginesOfASilentZoneAreAvoided(t *testing.T) {
 	b := newBench(t, 2)
 	b.r.backends["e0"].Zone = "z1"
-	b.r.backends["e1"].own.counts[0] = 3
-	b.post(Heard{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1}})
+	b.r.backends["e1"].ownLoad.counts[0] = 3
+	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1}})
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e0", engine)
-	b.now += cutAfter
+	b.now += zoneTimeout
 	engine, _ = b.submit(urgent, 0, 10)
 	require.Equal(t, "e1", engine)
 }
@@ -164,14 +164,14 @@
 	b := newBench(t, 8)
 	for i := 0; i < 60; i++ { // earns budget
 		b.submit(urgent, 0, 10)
-		b.post(Ended{ID: b.next, Outcome: Answered})
+		b.post(DispatchEnded{ID: b.next, Outcome: Answered})
 	}
 	b.submit(urgent, 0, 10)
 	id := b.next
 	runs := 1
 	for {
 		again := false
-		for _, e := range b.post(Ended{ID: id, Outcome: Broken}) {
+		for _, e := range b.post(DispatchEnded{ID: id, Outcome: Broken}) {
 			if _, ok := e.(Dispatch); ok {
 				again = true
 				runs++
@@ -190,17 +190,17 @@
 	b := newBench(t, 2)
 	for i := 0; i < 20; i++ {
 		b.submit(urgent, 0, 10)
-		b.post(Ended{ID: b.next, Outcome: Answered})
+		b.post(DispatchEnded{ID: b.next, Outcome: Answered})
 	}
 	b.submit(urgent, 0, 10)
 	id := b.next
-	verdict := func() bool { return b.post(Stalled{ID: id})[0].(Verdict).Move }
+	verdict := func() bool { return b.post(Stalled{ID: id})[0].(StallDecision).Reassign }
 	for i := 0; i < 20; i++ {
 		b.submit(urgent, 0, 10)
 	}
 	require.False(t, verdict())
 	for i := uint64(1); i <= 20; i++ {
-		b.post(Ended{ID: id + i, Outcome: Answered})
+		b.post(DispatchEnded{ID: id + i, Outcome: Answered})
 	}
 	require.True(t, verdict())
 }
@@ -212,10 +212,10 @@
 	now := time.Second
 	beat := func(seq uint64, contact bool) {
 		for i := 1; i <= 20; i++ {
-			r.Reduce(now, Heard{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: seq, ReadsStore: contact}})
+			r.Reduce(now, HeartbeatReceived{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: seq, ReadsStore: contact}})
 		}
 	}
-	reads := func() bool { return r.news.reading }
+	reads := func() bool { return r.updates.reading }
 	beat(1, true)
 	r.Reduce(now, Tick{})
 	require.False(t, reads(), "this host is among the readers by its hash; choose another number")
@@ -234,8 +234,8 @@
 // belong to another.
 func TestLapsedRegistrationIsUsedBrieflyOnly(t *testing.T) {
 	b := newBench(t, 1)
-	b.post(StoreContact{OK: false})
-	b.post(News{FromStore: true, Full: true, AsOf: rev(60)})
+	b.post(StoreStatus{OK: false})
+	b.post(Update{FromStore: true, Full: true, AsOf: rev(60)})
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e0", engine)
 	b.now += doubtFor
@@ -249,9 +249,9 @@
 	b := newBench(t, 1)
 	ch := routing.BackendChange{Revision: rev(55), Backend: b.r.backends["e0"].Backend}
 	ch.Draining = true
-	b.post(News{FromStore: true, Revision: rev(55), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
-	b.post(StoreContact{OK: false})
-	b.post(News{FromStore: true, Full: true, AsOf: rev(60)})
+	b.post(Update{FromStore: true, Revision: rev(55), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
+	b.post(StoreStatus{OK: false})
+	b.post(Update{FromStore: true, Full: true, AsOf: rev(60)})
 	_, refused := b.submit(urgent, 0, 10)
 	require.NotNil(t, refused)
 }
@@ -277,7 +277,7 @@
 	b := newBench(t, 1)
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e0", engine)
-	b.post(Ended{ID: 1, Outcome: WrongInstance})
+	b.post(DispatchEnded{ID: 1, Outcome: WrongInstance})
 	b.now += time.Minute
 	_, refused := b.submit(urgent, 0, 10)
 	require.NotNil(t, refused)
@@ -291,9 +291,9 @@
 	b := newBench(t, 2)
 	e0 := b.r.backends["e0"]
 	e0.Zone = "z1"
-	b.r.backends["e1"].own.counts[0] = 5 + headroom
+	b.r.backends["e1"].ownLoad.counts[0] = 5 + headroom
 	hear := func(seq uint64) {
-		b.post(Heard{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: seq}})
+		b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: seq}})
 	}
 	hear(1)
 	b.now += time.Second
@@ -316,8 +316,8 @@
 	b.now += takeWhileDraining
 	_, refused := b.submit(hint, 2, 10)
 	require.Equal(t, ShutDown, refused.Cause)
-	require.LessOrEqual(t, refused.After, 10*time.Millisecond)
-	require.Positive(t, refused.After)
+	require.LessOrEqual(t, refused.RetryAfter, 10*time.Millisecond)
+	require.Positive(t, refused.RetryAfter)
 }
 
 // Engines of one slot free a place once in a second, those of many slots every few milliseconds. Streams
@@ -326,19 +326,19 @@
 func TestPlacesToWaitFollowTheEngine(t *testing.T) {
 	b := newBench(t, 1)
 	e0 := b.r.backends["e0"]
-	e0.learnPace(20 * time.Millisecond)
+	e0.learnInterval(20 * time.Millisecond)
 	limit := func(slots int, rank float64) int {
 		e0.Slots = slots
-		s := b.r.searchFor(&request{Submit: Submit{Route: urgent, Rank: rank}, service: "m"}, anywhere)
-		return s.limitFor(e0)
+		s := b.r.newSelector(&request{Submit: Submit{Route: urgent, Rank: rank}, service: "m"}, scopeAll)
+		return s.requestLimit(e0)
 	}
 	require.Equal(t, 1+1, limit(1, 0), "30 events of 20 ms are more than half of the objective")
 	require.Equal(t, 1, limit(1, routing.LeastUrgent))
 	require.Equal(t, 11+headroom, limit(11, 0))
-	require.Equal(t, 11+headroom-perRank, limit(11, 1))
+	require.Equal(t, 11+headroom-headroomPerRank, limit(11, 1))
 	require.Equal(t, 64+headroom, limit(64, 0))
 	for i := 0; i < 100; i++ {
-		e0.learnPace(time.Second)
+		e0.learnInterval(time.Second)
 	}
 	require.Equal(t, 1, limit(1, 0))
 }
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -19,7 +19,7 @@
 	if c == nil {
 		return 0, false
 	}
-	if q.attempt == 0 && r.tries(c.Digest) && r.suspects.ledger.Try(r.now, c, trialFor) {
+	if q.attempt == 0 && r.tries(c.Digest) && r.suspects.ledger.TakeTrial(r.now, c, trialFor) {
 		q.onTrial = true
 		r.emit(Note{What: "request on trial", Subject: c.Digest.String(), Detail: c.Workspace})
 		return 0, false
@@ -31,21 +31,21 @@
 // those that are heard. Views that differ for a moment make it two.
 func (r *Router) tries(d quarantine.Digest) bool {
 	purpose := "tries " + d.String()
-	mine := rank(r.opt.Zone, purpose)
+	mine := roleScore(r.opt.Zone, purpose)
 	for _, zone := range r.otherZones() {
-		if !r.zoneSilent(zone) && rank(zone, purpose) < mine {
+		if !r.zoneUnreachable(zone) && roleScore(zone, purpose) < mine {
 			return false
 		}
 	}
-	return r.duty(purpose, 1)
+	return r.hasRole(purpose, 1)
 }
 
 // refuseQuarantined ends a request that is in quarantine: truly as not run where it has not.
 func (r *Router) refuseQuarantined(q *request, back time.Duration) {
 	r.close(q)
 	if q.ran {
-		r.emit(GiveUp{ID: q.ID, Cause: Quarantined, PassOn: true})
+		r.emit(GiveUp{ID: q.ID, Cause: Quarantined, DeliverFailure: true})
 		return
 	}
-	r.emit(Refuse{ID: q.ID, Cause: Quarantined, After: back, Grounds: r.grounds()})
+	r.emit(Refuse{ID: q.ID, Cause: Quarantined, RetryAfter: back, Basis: r.grounds()})
 }
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -19,7 +19,7 @@
 
 // charge is a question to a quota's owner.
 type charge struct {
-	question
+	ownerCall
 	workspace string
 	cost      float64
 }
@@ -28,7 +28,7 @@
 type quotaState struct {
 	// owners are by workspace, as long as the hosts of the zone stay the same.
 	owners  map[string][]string
-	charges questions[*charge]
+	charges ownerCalls[*charge]
 }
 
 func newQuotaState() quotaState { return quotaState{owners: map[string][]string{}} }
@@ -63,14 +63,14 @@
 
 // ownPart is the part of a host that decides for itself only, zonePart that of one that decides for the hosts of its zone that it
 // hears.
-func (r *Router) ownPart() limit.Part {
-	known, heard := r.census()
-	return limit.Part{Hosts: known, For: 1, Heard: float64(heard) / float64(known)}
+func (r *Router) ownPart() limit.Scope {
+	known, heard := r.countHosts()
+	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(heard) / float64(known)}
 }
 
-func (r *Router) zonePart() limit.Part {
+func (r *Router) zonePart() limit.Scope {
 	p := r.ownPart()
-	_, p.For = r.directCensus()
+	_, p.Members = r.countDirectHosts()
 	return p
 }
 
@@ -96,7 +96,7 @@
 // quotaOwner is the one of them to ask now; empty where none answers.
 func (r *Router) quotaOwner(workspace string) string {
 	for _, owner := range r.quotaOwners(workspace) {
-		if owner == r.opt.Host || r.answers(owner) {
+		if owner == r.opt.Host || r.canAsk(owner) {
 			return owner
 		}
 	}
@@ -104,36 +104,36 @@
 }
 
 // chargeHere decides by what this host believes of the quota.
-func (r *Router) chargeHere(q *request, part limit.Part) {
+func (r *Router) chargeHere(q *request, part limit.Scope) {
 	quota := r.quotas[q.Workspace.Name]
 	ok, back := r.admit(quota, q.Cost, part)
 	if !ok {
 		delete(r.requests, q.ID)
-		r.emit(Refuse{ID: q.ID, Cause: OverQuota, After: back, Grounds: r.quotaGrounds(q, quota)})
+		r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: back, Basis: r.quotaGrounds(q, quota)})
 		return
 	}
 	q.charged = true
 	r.admitted(q)
 }
 
-func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Part) (ok bool, back time.Duration) {
+func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Scope) (ok bool, back time.Duration) {
 	ok, back = quota.Admit(r.now, cost, part)
-	if quota.Tight() {
-		r.tightUntil = r.now + tightFor
+	if quota.NearlyExhausted() {
+		r.quotaLowUntil = r.now + tightFor
 	}
 	return ok, back
 }
 
-func (r *Router) quotaGrounds(q *request, quota *limit.Quota) Grounds {
+func (r *Router) quotaGrounds(q *request, quota *limit.Quota) DecisionBasis {
 	g := r.grounds()
-	g.BeliefAge = r.oldestBelief()
+	g.ViewAge = r.oldestHeartbeatAge()
 	g.Quota.Cost = q.Cost
-	g.Quota.Left, g.Quota.Own = quota.Left()
+	g.Quota.Remaining, g.Quota.OwnShare = quota.Remaining()
 	return g
 }
 
 func (r *Router) askCharge(q *request, owner string) {
-	c := &charge{question{number: r.limits.charges.next(), request: q.ID, owner: owner, at: r.now}, q.Workspace.Name, q.Cost}
+	c := &charge{ownerCall{number: r.limits.charges.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.Workspace.Name, q.Cost}
 	q.charging = c
 	r.limits.charges.add(c)
 	r.sendCharge(owner, &gossippb.Charge{Number: c.number, Workspace: c.workspace, Cost: c.cost})
@@ -158,7 +158,7 @@
 	if known && slices.Contains(r.quotaOwners(c.Workspace), r.opt.Host) {
 		ok, back := r.admit(quota, cost, r.zonePart())
 		answer.Unknown, answer.Admitted, answer.BackMs = false, ok, uint32(max(0, back.Milliseconds()))
-		answer.Left, answer.Own = quota.Left()
+		answer.Left, answer.Own = quota.Remaining()
 	}
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Charged: answer}})
 }
@@ -179,8 +179,8 @@
 	if !ok {
 		return
 	}
-	r.answered(from)
-	q, known := r.requests[c.request]
+	r.replyReceived(from)
+	q, known := r.requests[c.requestID]
 	if !known || q.charging != c {
 		if a.Admitted {
 			r.sendCharge(from, &gossippb.Charge{Workspace: c.workspace, Cost: c.cost, Back: true})
@@ -193,7 +193,7 @@
 	}
 	q.charging = nil
 	if quota := r.quotas[c.workspace]; quota != nil {
-		quota.Decided(r.now, c.cost, r.ownPart())
+		quota.NoteRemoteDecision(r.now, c.cost, r.ownPart())
 	}
 	if a.Admitted {
 		q.charged, q.chargedBy = true, from
@@ -202,9 +202,9 @@
 	}
 	delete(r.requests, q.ID)
 	g := r.grounds()
-	g.Owner, g.BeliefAge = from, r.now-c.at
-	g.Quota = QuotaGrounds{Cost: q.Cost, Left: a.Left, Own: a.Own}
-	r.emit(Refuse{ID: q.ID, Cause: OverQuota, After: time.Duration(a.BackMs) * time.Millisecond, Grounds: g})
+	g.Owner, g.ViewAge = from, r.now-c.sentAt
+	g.Quota = QuotaBasis{Cost: q.Cost, Remaining: a.Left, OwnShare: a.Own}
+	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Basis: g})
 }
 
 // chargeAlone decides for a request whose owner does not.
@@ -219,8 +219,8 @@
 // expireCharges asks the other owner where a question was not answered in time, or decides alone.
 func (r *Router) expireCharges() {
 	for _, c := range r.limits.charges.overdue(r.now) {
-		r.missed(c.owner)
-		if q, ok := r.requests[c.request]; ok && q.charging == c {
+		r.replyMissed(c.owner)
+		if q, ok := r.requests[c.requestID]; ok && q.charging == c {
 			r.chargeElsewhere(q)
 		}
 	}
@@ -247,7 +247,7 @@
 	if next == 0 || next >= len(owners) {
 		return ""
 	}
-	if owner := owners[next]; owner == r.opt.Host || r.answers(owner) {
+	if owner := owners[next]; owner == r.opt.Host || r.canAsk(owner) {
 		return owner
 	}
 	return ""
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -56,10 +56,10 @@
 	prepaid bool
 	// asking is the open question for a place, full the owners that had none, and alone tells that an owner
 	// did not answer, so that this host decides. owner is who gave the place; empty where this host took it.
-	asking *ask
-	full   []string
-	alone  bool
-	owner  string
+	asking        *slotRequest
+	fullOwners    []string
+	decideLocally bool
+	owner         string
 	// onTrial tells that it runs though it is in quarantine, to show whether it does harm.
 	onTrial bool
 }
@@ -70,19 +70,19 @@
 func (r *Router) submit(e Submit) {
 	q := &request{Submit: e}
 	if left := r.drainLeft(e); left {
-		r.emit(Refuse{ID: e.ID, Cause: ShutDown, After: DrainBack})
+		r.emit(Refuse{ID: e.ID, Cause: ShutDown, RetryAfter: DrainBack})
 		return
 	}
 	if e.Deadline <= r.now {
-		r.emit(Refuse{ID: e.ID, Cause: OutOfTime, After: 0})
+		r.emit(Refuse{ID: e.ID, Cause: OutOfTime, RetryAfter: 0})
 		return
 	}
 	if r.requests[e.ID] != nil {
-		r.inv.Check(false, "request %d submitted twice", e.ID)
+		r.invariants.Check(false, "request %d submitted twice", e.ID)
 		return
 	}
 	if back, yes := r.quarantined(q); yes {
-		r.emit(Refuse{ID: e.ID, Cause: Quarantined, After: back, Grounds: r.grounds()})
+		r.emit(Refuse{ID: e.ID, Cause: Quarantined, RetryAfter: back, Basis: r.grounds()})
 		return
 	}
 	q.service = r.chooseService(e.Route, e.Workspace)
@@ -92,7 +92,7 @@
 
 // admitted sends a request on that its workspace's quota has room for.
 func (r *Router) admitted(q *request) {
-	r.budgetOf(q.service).Earn(r.now, r.hosts())
+	r.budgetOf(q.service).Earn(r.now, r.hostCount())
 	r.dispatch(q)
 }
 
@@ -110,16 +110,16 @@
 
 // dispatch finds a place for a request and sends it there.
 func (r *Router) dispatch(q *request) {
-	q.full, q.alone, q.owner = nil, false, ""
+	q.fullOwners, q.decideLocally, q.owner = nil, false, ""
 	if back, yes := r.quarantined(q); yes {
 		r.refuseQuarantined(q, back)
 		return
 	}
 	if r.sharing() {
-		r.seek(q)
+		r.schedule(q)
 		return
 	}
-	b, g := r.place(q)
+	b, g := r.selectBackend(q)
 	if b == nil {
 		r.refuse(q, g)
 		return
@@ -128,21 +128,21 @@
 }
 
 // send counts a request at a backend server and lets it leave.
-func (r *Router) send(q *request, b *backend, g Grounds) {
+func (r *Router) send(q *request, b *backend, g DecisionBasis) {
 	q.attempt++
 	q.backend = b
-	r.inv.Check(!q.ran || q.Route.Repeatable(), "request %d of %s runs again", q.ID, q.Route.Name)
+	r.invariants.Check(!q.ran || q.Route.Repeatable(), "request %d of %s runs again", q.ID, q.Route.Name)
 	q.ran = true
 	q.runs++
 	q.sentAt = r.now
 	r.spendCold(b)
-	b.own.counts[q.bucket()]++
+	b.ownLoad.counts[q.bucket()]++
 	q.queued = b.inFlight() > b.Slots || 2*b.unread(r.now) > q.PromptTok
 	q.unread = q.PromptTok
-	b.own.unread += q.unread
+	b.ownLoad.prefillBacklog += q.unread
 	r.loadChanged()
-	r.reportTaken(q)
-	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, Keep: r.keep(b), At: r.now, Grounds: g})
+	r.reportAssigned(q)
+	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, MaxIdleConns: r.keep(b), At: r.now, Basis: g})
 }
 
 const (
@@ -160,30 +160,30 @@
 	if s == nil || s.MaxConns == 0 {
 		return keepMost
 	}
-	return max(1, min(keepMost, int(keepShare*float64(s.MaxConns))/r.hosts()))
+	return max(1, min(keepMost, int(keepShare*float64(s.MaxConns))/r.hostCount()))
 }
 
 // grounds are those of any decision: by which news it is made.
-func (r *Router) grounds() Grounds {
-	return Grounds{Version: r.version(), Era: r.news.complete.Era}
+func (r *Router) grounds() DecisionBasis {
+	return DecisionBasis{Version: r.version(), Era: r.updates.complete.Era}
 }
 
 // refuse ends a request for which there is no place, truly: only what has not run is called so.
-func (r *Router) refuse(q *request, g Grounds) {
+func (r *Router) refuse(q *request, g DecisionBasis) {
 	cause := Overloaded
 	if g.InFlight < 0 {
 		cause = NoBackend
 	}
 	r.close(q)
 	if q.ran {
-		r.emit(GiveUp{ID: q.ID, Cause: cause, PassOn: true})
+		r.emit(GiveUp{ID: q.ID, Cause: cause, DeliverFailure: true})
 		return
 	}
 	after := r.comeBack(q)
 	if at := r.backAt(q.service); cause == NoBackend && at > 0 {
 		after = max(after, at-r.now)
 	}
-	r.emit(Refuse{ID: q.ID, Cause: cause, After: after, Grounds: g})
+	r.emit(Refuse{ID: q.ID, Cause: cause, RetryAfter: after, Basis: g})
 }
 
 // comeBack is when a refused caller should return: the most urgent first, spread, and within the
@@ -196,12 +196,12 @@
 // gone ends a request whose caller left; the traffic side stops the work.
 func (r *Router) gone(id uint64) {
 	if q, ok := r.requests[id]; ok {
-		r.release(q, Ended{Outcome: Canceled})
+		r.release(q, DispatchEnded{Outcome: Canceled})
 		r.close(q)
 	}
 }
 
-func (r *Router) ended(e Ended) {
+func (r *Router) ended(e DispatchEnded) {
 	q, ok := r.requests[e.ID]
 	if !ok {
 		return
@@ -218,7 +218,7 @@
 		r.close(q)
 	case TimedOut:
 		r.close(q)
-		r.emit(GiveUp{ID: q.ID, Cause: OutOfTime, PassOn: true})
+		r.emit(GiveUp{ID: q.ID, Cause: OutOfTime, DeliverFailure: true})
 	case NotSent, Rejected, WrongInstance:
 		q.ran = q.runs > 1
 		q.runs--
@@ -229,7 +229,7 @@
 }
 
 // paceOf is the pace that a whole answer showed: the time between events, or to a plain answer.
-func paceOf(q *request, e Ended) time.Duration {
+func paceOf(q *request, e DispatchEnded) time.Duration {
 	if q.Route.Kind != routing.Streaming {
 		return e.First
 	}
@@ -237,12 +237,12 @@
 }
 
 // judge learns from how a dispatch ended.
-func (r *Router) judge(b *backend, q *request, e Ended) {
+func (r *Router) judge(b *backend, q *request, e DispatchEnded) {
 	switch e.Outcome {
 	case Answered:
 		b.succeeded(q.sentAt)
 		pace := paceOf(q, e)
-		b.learnPace(pace)
+		b.learnInterval(pace)
 		svc := r.serviceNamed(b.Service)
 		svc.learnPace(pace)
 		svc.learnEvents(e.Events)
@@ -265,13 +265,13 @@
 
 // sendElsewhere tries the next backend server after proof that nothing ran. What reached the first
 // one counts as an arrival all the same, so that a rejected send costs retry budget.
-func (r *Router) sendElsewhere(q *request, e Ended) {
+func (r *Router) sendElsewhere(q *request, e DispatchEnded) {
 	q.tried = append(q.tried, q.backend.ID)
 	reached := e.Outcome != NotSent
 	if reached {
 		q.rejects++
 	}
-	if q.rejects >= maxRejects || q.attempt >= maxSends || r.now >= q.Deadline || (reached && !r.budgetOf(q.service).Spend(r.now, r.hosts())) {
+	if q.rejects >= maxRejects || q.attempt >= maxSends || r.now >= q.Deadline || (reached && !r.budgetOf(q.service).Spend(r.now, r.hostCount())) {
 		r.refuse(q, r.grounds())
 		return
 	}
@@ -279,21 +279,21 @@
 }
 
 // repeat runs a request again where its kind, its route's bound and the retry budget allow it.
-func (r *Router) repeat(q *request, e Ended) {
+func (r *Router) repeat(q *request, e DispatchEnded) {
 	q.tried = append(q.tried, q.backend.ID)
 	allowed := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
 	if e.Delivered && q.Route.Kind != routing.Streaming {
 		allowed = false
 	}
-	if allowed && (q.prepaid || r.budgetOf(q.service).Spend(r.now, r.hosts())) {
+	if allowed && (q.prepaid || r.budgetOf(q.service).Spend(r.now, r.hostCount())) {
 		q.prepaid = false
-		if b, _ := r.place(q); b != nil {
+		if b, _ := r.selectBackend(q); b != nil {
 			r.dispatch(q)
 			return
 		}
 	}
 	r.close(q)
-	r.emit(GiveUp{ID: q.ID, Cause: BackendLost, PassOn: true})
+	r.emit(GiveUp{ID: q.ID, Cause: BackendLost, DeliverFailure: true})
 }
 
 // stalled decides whether a request whose backend server is silent moves to another one. It moves
@@ -302,39 +302,39 @@
 func (r *Router) stalled(id uint64) {
 	q, ok := r.requests[id]
 	if !ok {
-		r.emit(Verdict{ID: id})
+		r.emit(StallDecision{ID: id})
 		return
 	}
 	move := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
 	if move {
 		held := q.tried
 		q.tried = append(q.tried[:len(q.tried):len(q.tried)], q.backend.ID)
-		b, _ := r.place(q)
+		b, _ := r.selectBackend(q)
 		q.tried = held
-		move = b != nil && r.budgetOf(q.service).Spend(r.now, r.hosts())
+		move = b != nil && r.budgetOf(q.service).Spend(r.now, r.hostCount())
 	}
 	q.prepaid = move
-	r.emit(Verdict{ID: id, Move: move})
+	r.emit(StallDecision{ID: id, Reassign: move})
 }
 
 // promptDone takes a request's prompt out of what its backend server has still to read.
 func (q *request) promptDone() {
-	q.backend.own.unread -= q.unread
+	q.backend.ownLoad.prefillBacklog -= q.unread
 	q.unread = 0
 }
 
 // release takes a request out of the counts of its backend server.
-func (r *Router) release(q *request, e Ended) {
+func (r *Router) release(q *request, e DispatchEnded) {
 	if q.backend == nil {
 		return
 	}
-	r.reportEnd(q, e)
+	r.reportEnded(q, e)
 	p := q.bucket()
-	own := &q.backend.own
+	own := &q.backend.ownLoad
 	own.counts[p]--
 	q.promptDone()
 	r.loadChanged()
-	r.inv.Check(own.counts[p] >= 0 && own.unread >= 0, "backend server %s has %d in flight, %d tokens unread", q.backend.ID, own.counts[p], own.unread)
+	r.invariants.Check(own.counts[p] >= 0 && own.prefillBacklog >= 0, "backend server %s has %d in flight, %d tokens unread", q.backend.ID, own.counts[p], own.prefillBacklog)
 }
 
 func (r *Router) close(q *request) {
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -24,7 +24,7 @@
 // speed is what is observed of an engine.
 type speed struct{ interval, read time.Duration }
 
-func (b *backend) speed() speed { return speed{b.interval, b.read} }
+func (b *backend) speed() speed { return speed{b.interval, b.prefillPerToken} }
 
 // differs tells whether a speed is worth telling to those who know another.
 func (s speed) differs(told speed) bool {
@@ -36,7 +36,7 @@
 }
 
 // began takes the first event of a stream: its prompt is read.
-func (r *Router) began(e Began) {
+func (r *Router) began(e StreamStarted) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil || q.unread == 0 {
 		return
@@ -50,16 +50,16 @@
 		q.backend.learnRead(read)
 		r.serviceNamed(q.service).learnRead(read)
 	}
-	if to := r.reportTo(q); to != "" {
-		rep := q.reportOf(0, -done)
+	if to := r.reportTarget(q); to != "" {
+		rep := q.newReport(0, -done)
 		rep.ReadNs = uint32(read.Nanoseconds())
-		r.report(to, rep)
+		r.sendReport(to, rep)
 	}
 }
 
 // paced takes the speed of a stream's first events, so that a slow engine is known before the first
 // stream there has ended.
-func (r *Router) paced(e Paced) {
+func (r *Router) paced(e StreamProgress) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil {
 		return
@@ -67,10 +67,10 @@
 	if q.backend.samples == 0 {
 		r.serviceNamed(q.service).learnPace(e.Interval)
 	}
-	q.backend.learnPace(e.Interval)
+	q.backend.learnInterval(e.Interval)
 }
 
-func (b *backend) learnRead(read time.Duration) { b.read = learned(b.read, read) }
+func (b *backend) learnRead(read time.Duration) { b.prefillPerToken = learned(b.prefillPerToken, read) }
 
 func learned(known, seen time.Duration) time.Duration {
 	switch {
@@ -87,26 +87,26 @@
 func (r *Router) newSpeeds() []*gossippb.Speed {
 	var out []*gossippb.Speed
 	for _, b := range r.allBackends() {
-		if b.removed || b.samples == 0 || !b.speed().differs(b.told) {
+		if b.removed || b.samples == 0 || !b.speed().differs(b.reportedSpeed) {
 			continue
 		}
-		b.told = b.speed()
+		b.reportedSpeed = b.speed()
 		out = append(out, b.speedMessage())
 	}
 	return out
 }
 
 func (b *backend) speedMessage() *gossippb.Speed {
-	return &gossippb.Speed{Backend: b.hash, IntervalUs: uint32(b.interval.Microseconds()), ReadNs: uint32(b.read.Nanoseconds())}
+	return &gossippb.Speed{Backend: b.hash, IntervalUs: uint32(b.interval.Microseconds()), ReadNs: uint32(b.prefillPerToken.Nanoseconds())}
 }
 
 // takeSpeed takes the word of a backend server's owner, which hears of all requests there.
 func (b *backend) takeSpeed(s *gossippb.Speed) {
-	if pace := time.Duration(s.IntervalUs) * time.Microsecond; pace > 0 && pace <= mostPace {
+	if pace := time.Duration(s.IntervalUs) * time.Microsecond; pace > 0 && pace <= maxEventInterval {
 		b.interval = pace
 	}
 	if read := time.Duration(s.ReadNs); read > 0 && read <= mostRead {
-		b.read = read
+		b.prefillPerToken = read
 	}
 }
 
@@ -120,8 +120,8 @@
 		if b.samples == 0 {
 			b.interval = time.Duration(s.IntervalUs) * time.Microsecond
 		}
-		if read := time.Duration(s.ReadNs); b.read == 0 && read <= mostRead {
-			b.read = read
+		if read := time.Duration(s.ReadNs); b.prefillPerToken == 0 && read <= mostRead {
+			b.prefillPerToken = read
 		}
 	}
 }
@@ -129,12 +129,12 @@
 // unread is how many prompt tokens an engine is believed to have still to read. What others told is
 // worked off since.
 func (b *backend) unread(now time.Duration) int {
-	others, at := b.others.unread, b.toldAt
-	if b.fromOwner {
-		others, at = b.ownersWord.unread, b.ownersWordAt
+	others, at := b.othersLoad.prefillBacklog, b.othersReportedAt
+	if b.useOwnerReport {
+		others, at = b.ownerReport.prefillBacklog, b.ownerReportedAt
 	}
-	if others > 0 && b.read > 0 {
-		others = max(0, others-int((now-at)/b.read))
+	if others > 0 && b.prefillPerToken > 0 {
+		others = max(0, others-int((now-at)/b.prefillPerToken))
 	}
-	return b.own.unread + others
+	return b.ownLoad.prefillBacklog + others
 }
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -45,7 +45,7 @@
 
 // learnOfRequest takes what the end of a dispatch says of the request itself. The same request in the hands of one backend
 // server after another that ends is most likely what ends them, and its callers repeat it at any host.
-func (r *Router) learnOfRequest(b *backend, q *request, e Ended) {
+func (r *Router) learnOfRequest(b *backend, q *request, e DispatchEnded) {
 	if !e.Digest.Zero() {
 		q.Digest = e.Digest
 	}
@@ -54,7 +54,7 @@
 	}
 	switch e.Outcome {
 	case Answered:
-		if e.Success && r.suspects.ledger.Ran(r.now, q.Digest) {
+		if e.Success && r.suspects.ledger.ObserveSuccess(r.now, q.Digest) {
 			r.noteBlame()
 		}
 	case Broken, TimedOut, Canceled:
@@ -64,7 +64,7 @@
 
 // hold remembers a request until it shows whether its backend server has ended. One that was leaving ends by itself: what was
 // still in flight there is innocent.
-func (r *Router) hold(b *backend, q *request, e Ended) {
+func (r *Router) hold(b *backend, q *request, e DispatchEnded) {
 	q.onTrial = false
 	run := brokenRun{q.Digest, workspaceName(q), r.now}
 	if b.ended {
@@ -74,12 +74,12 @@
 	if b.Draining || b.leaving || b.removed {
 		return
 	}
-	if len(b.broken) < maxBroken {
-		b.broken = append(b.broken, run)
+	if len(b.brokenRuns) < maxBroken {
+		b.brokenRuns = append(b.brokenRuns, run)
 	}
-	if e.Outcome == Broken && r.now >= b.checkedUntil {
-		b.checkedUntil = r.now + confirmFor
-		r.emit(Check{Backend: b.Backend, Keep: r.keep(b)})
+	if e.Outcome == Broken && r.now >= b.probedUntil {
+		b.probedUntil = r.now + confirmFor
+		r.emit(Probe{Backend: b.Backend, MaxIdleConns: r.keep(b)})
 	}
 }
 
@@ -91,17 +91,17 @@
 }
 
 // checked takes whether a backend server whose answer broke can still be reached.
-func (r *Router) checked(e Checked) {
+func (r *Router) checked(e ProbeResult) {
 	b, ok := r.backends[e.ID]
 	if !ok || b.Start != e.Start {
 		return
 	}
 	if e.Reached {
 		// What broke before did not end it, whatever becomes of it later: those who are refused for that would be innocent.
-		b.broken = nil
+		b.brokenRuns = nil
 	}
 	if !e.Refused {
-		b.checkedUntil = r.now
+		b.probedUntil = r.now
 		return
 	}
 	b.refused(r.now)
@@ -111,8 +111,8 @@
 // backendEnded takes that a backend server has ended without leaving: what was in flight there is under suspicion.
 func (r *Router) backendEnded(b *backend) {
 	b.ended = true
-	broken := b.broken
-	b.broken = nil
+	broken := b.brokenRuns
+	b.brokenRuns = nil
 	for _, run := range broken {
 		if r.now-run.at <= confirmFor {
 			r.sawEnd(b, run)
@@ -122,12 +122,12 @@
 
 // sawEnd books the end of a backend server on a request that was in flight there.
 func (r *Router) sawEnd(b *backend, run brokenRun) {
-	if !r.suspects.ledger.Saw(r.now, run.digest, run.workspace, quarantine.End{Backend: b.hash, At: run.at}) {
+	if !r.suspects.ledger.Observe(r.now, run.digest, run.workspace, quarantine.End{Backend: b.hash, At: run.at}) {
 		return
 	}
 	r.emit(Note{What: "backend server ended with a request in hand", Subject: b.ID, Detail: run.digest.String() + " " + run.workspace})
 	r.noteBlame()
-	r.changed = true // others are told at once
+	r.heartbeatPending = true // others are told at once
 }
 
 // noteBlame tells the log which requests are in quarantine from now on, and which no longer are.
@@ -167,20 +167,20 @@
 }
 
 // newSuspects are what this host has newly seen itself, for its beats.
-func (r *Router) newSuspects() []*quarantinepb.Suspect { return r.suspects.ledger.OwnNews(r.now) }
+func (r *Router) newSuspects() []*quarantinepb.Suspect { return r.suspects.ledger.OwnChanges(r.now) }
 
 // allSuspects are all requests that are known, if this host is to tell its zone of them now.
 func (r *Router) allSuspects() []*quarantinepb.Suspect {
-	if r.now < r.suspects.allAt || !r.Suspects() || !r.duty("tells suspects", tellers) {
+	if r.now < r.suspects.allAt || !r.Suspects() || !r.hasRole("tells suspects", tellers) {
 		return nil
 	}
-	r.suspects.allAt = r.now + quarantine.TellAllEvery
-	return r.suspects.ledger.All(r.now)
+	r.suspects.allAt = r.now + quarantine.FullInterval
+	return r.suspects.ledger.Full(r.now)
 }
 
 // takeSuspects takes what another host tells of requests.
 func (r *Router) takeSuspects(list []*quarantinepb.Suspect) {
-	if r.suspects.ledger.Hear(r.now, list) {
+	if r.suspects.ledger.Merge(r.now, list) {
 		r.noteBlame()
 	}
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -7,18 +7,19 @@
 	"fireflyshift/internal/record"
 )
 
-// Bounds of the time to come back that a refusal names.
+// Limits of the retry delay in a refusal.
 const (
-	retryLeast = 500 * time.Millisecond
-	retryMost  = 30 * time.Second
-	// hardQueueFactor bounds the queue absolutely, also while displaced work makes room.
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 30 * time.Second
+	// hardQueueFactor is the factor over the normal bound up to which the queue may grow while preempted
+	// runs make room.
 	hardQueueFactor = 4
-	// finishMargin is put on the estimate of a finish before it is held against a deadline.
+	// finishMargin is the safety factor on the estimated duration when it is compared with a deadline.
 	finishMargin = 1.15
 )
 
-// pump grants as long as the most urgent waiting request fits somewhere, then displaces for it.
-func (g *Group) pump(now time.Duration) {
+// schedule grants slots while the first waiting request fits on a server, then preempts runs for it.
+func (g *Group) schedule(now time.Duration) {
 	if !g.settled {
 		return
 	}
@@ -26,21 +27,21 @@
 	}
 }
 
-// grantNext serves one request and reports whether it did.
+// grantNext grants a slot to one request and reports whether it did.
 func (g *Group) grantNext(now time.Duration) bool {
 	if ignoresTiers(g.service.Policy) {
 		w := g.queue.oldest()
-		return w != nil && g.try(now, w) == granted
+		return w != nil && g.tryGrant(now, w) == granted
 	}
-	for p := Priorities - 1; p >= 0; p-- {
-		for _, line := range []*tierQueue{g.queue.resumed[p], g.queue.fresh[p]} {
-			switch g.grantFrom(now, line) {
+	for p := NumPriorities - 1; p >= 0; p-- {
+		for _, line := range []*tierQueue{g.queue.resumed[p], g.queue.newRequests[p]} {
+			switch g.grantFromTier(now, line) {
 			case granted:
 				return true
-			case noRoom:
+			case noFreeSlot:
 				g.displace(now, line.head())
-				if line == g.queue.fresh[p] {
-					return false // what fresh urgent work could use, lower work must not take
+				if line == g.queue.newRequests[p] {
+					return false // slots that new requests of this priority could use must not go to lower ones
 				}
 			}
 		}
@@ -48,32 +49,33 @@
 	return false
 }
 
-// verdict is what became of an attempt to place a request.
-type verdict int
+// placement is the result of an attempt to grant a slot to a request.
+type placement int
 
 const (
-	granted verdict = iota + 1
-	// noRoom: no server that could serve it in time has a free slot.
-	noRoom
-	// tooSlow: free slots are left, on servers that would not finish it in time.
+	granted placement = iota + 1
+	// noFreeSlot: no server that could serve the request in time has a free slot.
+	noFreeSlot
+	// tooSlow: the servers with free slots would not finish the request in time.
 	tooSlow
-	// nothing: nobody waits.
-	nothing
+	// noneWaiting: no request waits.
+	noneWaiting
 )
 
-// headsTried is how many workspaces of a tier are looked at when the first one's work is too long
-// for the servers that are free.
-const headsTried = 8
+// maxHeadsTried is how many workspaces of a tier are tried if the first one's request is too long for the
+// free servers.
+const maxHeadsTried = 8
 
-// grantFrom serves one tier: its next workspace, or another whose work fits the free servers.
-func (g *Group) grantFrom(now time.Duration, t *tierQueue) verdict {
-	out := nothing
-	for _, w := range t.heads(headsTried) {
-		switch g.try(now, w) {
+// grantFromTier grants a slot to the next workspace of a tier, or to another whose request fits a free
+// server.
+func (g *Group) grantFromTier(now time.Duration, t *tierQueue) placement {
+	out := noneWaiting
+	for _, w := range t.heads(maxHeadsTried) {
+		switch g.tryGrant(now, w) {
 		case granted:
 			return granted
-		case noRoom:
-			return noRoom
+		case noFreeSlot:
+			return noFreeSlot
 		default:
 			out = tooSlow
 		}
@@ -81,30 +83,31 @@
 	return out
 }
 
-// try grants a request if it can.
-func (g *Group) try(now time.Duration, w *waiting) verdict {
-	b, v := g.place(now, w)
+// tryGrant grants a slot to a request if a server can take it.
+func (g *Group) tryGrant(now time.Duration, w *queuedRequest) placement {
+	b, v := g.selectBackend(now, w)
 	if v == granted {
-		g.reserveSlot(now, w, b)
+		g.grantSlot(now, w, b)
 	}
 	return v
 }
 
-// place filters and scores.
-func (g *Group) place(now time.Duration, w *waiting) (*backend, verdict) {
+// selectBackend filters and scores the backend servers for a request. It returns nil if none can take it
+// now.
+func (g *Group) selectBackend(now time.Duration, w *queuedRequest) (*backend, placement) {
 	score := scorers[g.service.Policy]
 	if score == nil {
 		score = scoreCost
 	}
 	var best *backend
 	least := 0.0
-	v := noRoom
-	for _, name := range g.order {
+	v := noFreeSlot
+	for _, name := range g.sortedNames {
 		b := g.backends[name]
-		if !g.able(now, w, b) || len(b.runs) >= b.limitFor(g.reserveFor(w.Priority)) {
+		if !g.canServe(now, w, b) || len(b.runs) >= b.limitFor(g.reservedPercent(w.Priority)) {
 			continue
 		}
-		if !g.inTime(now, w, b) {
+		if !g.finishesInTime(now, w, b) {
 			v = tooSlow
 			continue
 		}
@@ -118,72 +121,73 @@
 	return best, v
 }
 
-// able tells whether the server could serve the request if it had room.
-func (g *Group) able(now time.Duration, w *waiting, b *backend) bool {
+// canServe reports whether the server could serve the request if it had a free slot.
+func (g *Group) canServe(now time.Duration, w *queuedRequest, b *backend) bool {
 	return b.ready(now) && (!w.Resume || b.spec.CanSuspend)
 }
 
-// inTime tells whether the server would finish the request before its deadline. It keeps long
-// answers off slow servers: they would be canceled halfway, and their prefill thrown away.
-func (g *Group) inTime(now time.Duration, w *waiting, b *backend) bool {
+// finishesInTime reports whether the server would finish the request before its deadline. It keeps long
+// answers off slow servers, where they would be canceled halfway and their prefill wasted.
+func (g *Group) finishesInTime(now time.Duration, w *queuedRequest, b *backend) bool {
 	if ignoresTiers(g.service.Policy) {
 		return true
 	}
-	return now+fromMS(b.shown(&w.Request, g.answered)*finishMargin) <= w.Deadline
+	return now+fromMS(b.measuredEstimate(&w.Request, g.outputRatio)*finishMargin) <= w.Deadline
 }
 
-func (g *Group) reserveFor(priority uint32) int {
+func (g *Group) reservedPercent(priority uint32) int {
 	if ignoresTiers(g.service.Policy) {
 		return 0
 	}
-	return g.reserve[priority]
+	return g.reservePercent[priority]
 }
 
-// reserveSlot takes the slot and grants it.
-func (g *Group) reserveSlot(now time.Duration, w *waiting, b *backend) {
+// grantSlot reserves a slot and emits the grant.
+func (g *Group) grantSlot(now time.Duration, w *queuedRequest, b *backend) {
 	g.queue.serve(w)
 	g.grants++
 	g.start(b, &run{
 		Held: Held{Key: w.Key, Attempt: w.Attempt, Backend: b.spec.Name, Workspace: w.Workspace,
 			Priority: w.Priority, OutputTokens: w.OutputTokens, NonIdempotent: w.NonIdempotent},
-		granted: now, confirmed: now, uncached: b.uncached(&w.Request),
+		grantedAt: now, confirmedAt: now, uncached: b.uncached(&w.Request),
 	})
-	b.prefix.add(w.Prefix)
-	g.inv.Check(!b.spec.Leaving, "grant of %d on leaving backend server %s", w.Key.Request, b.spec.Name)
-	g.out = append(g.out, Grant{w.Key, w.Attempt, b.spec.Name, g.opt.Lease})
+	b.prefixes.add(w.Prefix)
+	g.inv.Check(!b.spec.Leaving, "granted request %d a slot on leaving backend server %s", w.Key.Request, b.spec.Name)
+	g.decisions = append(g.decisions, Grant{w.Key, w.Attempt, b.spec.Name, g.opt.Lease})
 }
 
-// admit refuses at once what cannot be served in time.
-func (g *Group) admit(now time.Duration, w *waiting) (fault.Kind, time.Duration, bool) {
-	if len(g.order) == 0 || !g.anyActive() {
+// admit refuses requests that cannot be served in time. It returns ok, or the kind of refusal and a retry
+// delay.
+func (g *Group) admit(now time.Duration, w *queuedRequest) (fault.Kind, time.Duration, bool) {
+	if len(g.sortedNames) == 0 || !g.anyActive() {
 		return fault.NoBackend, time.Second, false
 	}
-	if now > w.latest {
+	if now > w.latestStart {
 		return fault.DeadlineUnmeetable, 0, false
 	}
 	if w.Resume || ignoresTiers(g.service.Policy) {
 		return "", 0, true
 	}
-	if w.Spilled && !g.takesSpill(w.Priority) {
-		return fault.Overloaded, retryLeast, false
+	if w.Spilled && !g.acceptsSpill(w.Priority) {
+		return fault.Overloaded, minRetryAfter, false
 	}
-	// Lower work can still make room: then the wait cannot be known, and nothing is shed.
-	if g.lowerRunning(w.Priority) > 0 {
+	// Runs of a lower priority can still be preempted, so the wait is unknown and nothing is refused.
+	if g.countRunningBelow(w.Priority) > 0 {
 		return "", 0, true
 	}
-	if wait := g.wait(w); g.paceShown() && now+wait > w.latest {
-		return fault.DeadlineUnmeetable, clampRetry(wait), false
+	if wait := g.estimateWait(w); g.allMeasured() && now+wait > w.latestStart {
+		return fault.DeadlineUnmeetable, clampRetryAfter(wait), false
 	}
 	return "", 0, true
 }
 
-// takesSpill tells whether work of another availability zone is welcome: only where it starts at
-// once, on a free slot or in the place of lower work. So two zones cannot fill each other's queues.
-func (g *Group) takesSpill(priority uint32) bool {
-	if g.queue.waitsFrom(priority) {
+// acceptsSpill reports whether requests spilled from another availability zone are accepted: only if they
+// start at once, on a free slot or by preemption. This keeps two zones from filling each other's queues.
+func (g *Group) acceptsSpill(priority uint32) bool {
+	if g.queue.hasWaitingFrom(priority) {
 		return false
 	}
-	return g.lowerRunning(priority) > 0 || g.slots() > len(g.runs)
+	return g.countRunningBelow(priority) > 0 || g.totalSlots() > len(g.runs)
 }
 
 func (g *Group) anyActive() bool {
@@ -195,17 +199,18 @@
 	return false
 }
 
-// wait estimates how long a request waits before it starts.
-func (g *Group) wait(w *waiting) time.Duration {
-	slots := g.slots()
+// estimateWait estimates how long a request waits before it starts.
+func (g *Group) estimateWait(w *queuedRequest) time.Duration {
+	slots := g.totalSlots()
 	if slots == 0 {
-		return retryMost
+		return maxRetryAfter
 	}
 	return fromMS(g.queue.costAhead(w) / float64(slots))
 }
 
-// paceShown tells whether the estimates rest on what every server in use has shown.
-func (g *Group) paceShown() bool {
+// allMeasured reports whether every server in use has samples, so that estimates do not rest on initial
+// values.
+func (g *Group) allMeasured() bool {
 	for _, b := range g.backends {
 		if !b.spec.Leaving && b.samples == 0 {
 			return false
@@ -214,7 +219,7 @@
 	return true
 }
 
-func (g *Group) slots() int {
+func (g *Group) totalSlots() int {
 	n := 0
 	for _, b := range g.backends {
 		if !b.spec.Leaving {
@@ -224,74 +229,75 @@
 	return n
 }
 
-func (g *Group) lowerRunning(priority uint32) int {
+func (g *Group) countRunningBelow(priority uint32) int {
 	n := 0
 	for p := uint32(0); p < priority; p++ {
-		n += g.running[p]
+		n += g.runningByPriority[p]
 	}
 	return n
 }
 
-// overflow sheds from the bottom once the queue is over its bound.
+// enforceQueueBound sheds the lowest-ranked requests while the queue is over its bound.
 //
-// It guards against shedding urgent work while lower work runs: a request is only shed when no
-// lower run is left that could make room; until then the queue may go over its bound, up to a hard
-// one, and the lower runs are displaced at once instead of after DisplaceAfter.
-func (g *Group) overflow(now time.Duration) {
-	bound := max(g.opt.MinQueue, g.opt.QueuePerSlot*g.slots())
+// A request is shed only if no run of a lower priority is left that could be preempted for it. Until then
+// the queue may exceed its bound, up to a hard bound, and those runs are preempted at once instead of
+// after DisplaceAfter.
+func (g *Group) enforceQueueBound(now time.Duration) {
+	bound := max(g.opt.MinQueue, g.opt.QueuePerSlot*g.totalSlots())
 	for g.queue.len() > bound {
-		w := g.queue.last()
+		w := g.queue.shedCandidate()
 		if ignoresTiers(g.service.Policy) {
 			g.shed(now, w)
 			continue
 		}
 		g.displaceAllBelow(now, w)
-		if g.lowerRunning(w.Priority) > 0 && g.queue.len() <= hardQueueFactor*bound {
+		if g.countRunningBelow(w.Priority) > 0 && g.queue.len() <= hardQueueFactor*bound {
 			return
 		}
-		if g.lowerRunning(w.Priority) > 0 {
-			g.CappedSheds++
+		if g.countRunningBelow(w.Priority) > 0 {
+			g.HardBoundSheds++
 		}
 		g.shed(now, w)
 	}
 }
 
-func (g *Group) shed(now time.Duration, w *waiting) {
+func (g *Group) shed(now time.Duration, w *queuedRequest) {
 	if !ignoresTiers(g.service.Policy) {
-		r := g.displaceable(now, w)
-		g.inv.Check(r == nil, "shed %d at priority %d while lower work runs", w.Key.Request, w.Priority)
+		r := g.selectVictim(now, w)
+		g.inv.Check(r == nil, "shed request %d at priority %d while runs of a lower priority could be preempted", w.Key.Request, w.Priority)
 	}
-	wait := clampRetry(g.wait(w))
+	wait := clampRetryAfter(g.estimateWait(w))
 	g.queue.remove(w)
 	g.refuse(w, fault.Overloaded, wait)
 }
 
-func (g *Group) refuse(w *waiting, kind fault.Kind, after time.Duration) {
-	g.out = append(g.out, Refuse{w.Key, w.Attempt, kind, after})
+func (g *Group) refuse(w *queuedRequest, kind fault.Kind, after time.Duration) {
+	g.decisions = append(g.decisions, Refuse{w.Key, w.Attempt, kind, after})
 }
 
-// expire ends waits that can no longer meet their deadline; they are answered at once, not held.
+// expire refuses requests that can no longer meet their deadline, so that callers get their answer at
+// once.
 func (g *Group) expire(now time.Duration) {
-	for g.queue.len() > 0 && g.queue.expiry.Min().latest < now {
+	for g.queue.len() > 0 && g.queue.expiry.Min().latestStart < now {
 		w := g.queue.expiry.Min()
-		wait := clampRetry(g.wait(w))
+		wait := clampRetryAfter(g.estimateWait(w))
 		g.queue.remove(w)
 		g.refuse(w, fault.DeadlineUnmeetable, wait)
 	}
 }
 
-func clampRetry(d time.Duration) time.Duration {
-	return min(max(d, retryLeast), retryMost)
+func clampRetryAfter(d time.Duration) time.Duration {
+	return min(max(d, minRetryAfter), maxRetryAfter)
 }
 
-// Summary is what the group tells other hosts.
+// Summary is the load of a group as reported to other hosts.
 type Summary struct {
 	Free          int
 	Waiting       int
-	LowestRunning int // -1 when idle
+	LowestRunning int // lowest priority of the runs, -1 if there are none
 }
 
-// Summary counts free slots over the servers that may get work.
+// Summary returns the load of the group; only servers that may get requests count for free slots.
 func (g *Group) Summary(now time.Duration) Summary {
 	s := Summary{Waiting: g.queue.len(), LowestRunning: -1}
 	for _, b := range g.backends {
@@ -299,7 +305,7 @@
 			s.Free += max(0, b.limit()-len(b.runs))
 		}
 	}
-	for p, n := range g.running {
+	for p, n := range g.runningByPriority {
 		if n > 0 {
 			s.LowestRunning = p
 			break
@@ -308,7 +314,7 @@
 	return s
 }
 
-// BackendStatus is one server as operators see it.
+// BackendStatus is the state of one backend server as shown to operators.
 type BackendStatus struct {
 	Name     string  `json:"name"`
 	Zone     string  `json:"zone"`
@@ -321,18 +327,18 @@
 	Interval float64 `json:"token_interval_ms"`
 }
 
-// Status lists the servers, by name.
+// Status returns the state of the servers, sorted by name.
 func (g *Group) Status(now time.Duration) []BackendStatus {
-	out := make([]BackendStatus, 0, len(g.order))
-	for _, name := range g.order {
+	out := make([]BackendStatus, 0, len(g.sortedNames))
+	for _, name := range g.sortedNames {
 		b := g.backends[name]
-		out = append(out, BackendStatus{name, b.spec.Zone, b.spec.Addr, b.spec.Leaving, now < b.coolTill,
+		out = append(out, BackendStatus{name, b.spec.Zone, b.spec.Addr, b.spec.Leaving, now < b.coolUntil,
 			len(b.runs), b.limit(), b.spec.Slots, b.interval})
 	}
 	return out
 }
 
-// Suspendable tells whether a service kind lets running work be displaced.
+// suspendable reports whether runs on a backend server can be suspended.
 func (g *Group) suspendable(b *backend) bool {
 	return g.service.Kind == record.ServiceModel && b.spec.CanSuspend
 }
