--- a/internal/core/catchup_test.go
+++ b/internal/core/catchup_test.go
@@ -13,18 +13,20 @@
 	"fireflyshift/internal/record"
 )
 
-// A process is paused for four seconds with a request waiting at the scheduler, another host. Meanwhile an operator
-// takes the server b0 out. The process wakes up and its timer fires before it has read a socket: all other hosts have
-// been silent for four seconds on its clock, so it takes them for dead, computes that the group is its own, grants itself
-// a place on b0 and dispatches, with a fresh lease, to a server that has been leaving for four seconds.
+// Guards against a host that takes the others for dead after a pause of its own process. A request waits
+// at the scheduler, another host, when the process is paused for 4 s; meanwhile an operator takes the
+// server b0 out. The timer fires before the process has read a socket. By its clock no host has sent a
+// heartbeat for 4 s, so it would schedule the group itself and dispatch, with a fresh lease, to a server
+// that has been leaving for 4 s.
 func TestWokenHostDoesNotTakeOthersForDead(t *testing.T) {
 	l := newSingleHost(t)
 	l.submit("r")
 	l.now += 4 * time.Second
-	require.Empty(t, dispatches(l.feed(core.Tick{})), "it has heard nothing since it woke")
+	require.Empty(t, dispatches(l.feed(core.Tick{})), "no message received since the pause")
 }
 
-// resumedScheduler is a host that schedules the group of "mine" itself, settled, and has then been paused for four seconds.
+// resumedScheduler returns a host that schedules the group of ownService, has waited for holdings, and has
+// just been paused for 4 s.
 func resumedScheduler(t *testing.T) *singleHost {
 	l := newSingleHost(t, record.Raw{Kind: record.KindService, Name: ownService, Schema: 1, Revision: 3, Body: []byte(`{"kind":"plain"}`)},
 		record.Raw{Kind: record.KindBackend, Name: "m0", Schema: 1, Revision: 4,
@@ -39,7 +41,7 @@
 	return l
 }
 
-// ownService is a service whose group this host schedules while it and the peer live.
+// ownService is a service whose group this host schedules while it and the peer are live.
 var ownService = func() string {
 	for i := 0; ; i++ {
 		name := fmt.Sprint("m", i)
@@ -53,13 +55,13 @@
 	return l.feed(core.Submit{ID: id, Workspace: "w", Service: ownService, Priority: 1, Deadline: time.Minute, OutputTokens: 1})
 }
 
-// peerHeartbeat is a heartbeat of the peer that had heard this host's word of a moment of its clock.
+// peerHeartbeat delivers a heartbeat of the peer that echoes the given time of this host's clock.
 func (l *singleHost) peerHeartbeat(echoed time.Duration, revision uint64, catchingUp bool) {
 	l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{SentMs: uint64(l.now / time.Millisecond),
 		ConfigRevision: revision, CatchingUp: catchingUp, EchoMs: uint64(echoed / time.Millisecond), EchoIncarnation: selfIncarnation}}})
 }
 
-// isServed lets half a second pass in ticks and tells whether a request is dispatched in it.
+// isServed submits a request, advances 500 ms in ticks, and reports whether it is dispatched.
 func (l *singleHost) isServed(id string) bool {
 	out := dispatches(l.submitOwn(id))
 	for range 5 {
@@ -69,31 +71,33 @@
 	return len(out) > 0
 }
 
-// A scheduler is paused, others take its groups, and an operator takes a server out. It wakes up and a caller's request
-// comes before any message. By its book the server has room: it granted itself a place there.
+// Guards against a grant from out-of-date state. A scheduler is paused, others take its groups, and an
+// operator takes a server out. After the pause a caller's request comes before any message; by the old
+// state the server has a free slot.
 func TestWokenSchedulerGrantsNothingBeforeTheNews(t *testing.T) {
 	l := resumedScheduler(t)
 	require.False(t, l.isServed("after"))
 }
 
-// What proves that the news is in: a word of each host that lived before the pause, sent after it had heard this one's first
-// word after waking, with a configuration that this host has; and the host list. A heartbeat that waited in a socket
-// through the pause, one of a host that has itself just woken, and one that tells of newer records prove nothing.
+// Guards against ending the catch-up too early. It needs the host list, and from each host that was live
+// before the pause a heartbeat that was sent after a message of this host since the pause and whose
+// configuration this host has. A heartbeat that waited in a socket during the pause, one from a host that
+// is itself catching up, and one that announces newer records do not count.
 func TestWhatProvesThatTheNewsIsIn(t *testing.T) {
 	hosts := core.HostList{Hosts: []core.ListedHost{{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}}}}
 	for _, c := range []struct {
 		name       string
-		behind     time.Duration // how long before waking the peer had last heard this host
+		behind     time.Duration // how long before the end of the pause the echoed clock reading is
 		revision   uint64
 		catchingUp bool
 		list       bool
 		served     bool
 	}{
-		{"of before the pause", time.Second, 4, false, true, false},
-		{"the peer has just woken too", 0, 4, true, true, false},
+		{"sent before the pause", time.Second, 4, false, true, false},
+		{"the peer is catching up too", 0, 4, true, true, false},
 		{"the peer has newer records", 0, 9, false, true, false},
 		{"no host list", 0, 4, false, false, false},
-		{"in", 0, 4, false, true, true},
+		{"complete", 0, 4, false, true, true},
 	} {
 		l := resumedScheduler(t)
 		resumedAt := l.now
@@ -106,7 +110,8 @@
 	}
 }
 
-// A host that nobody answers after a pause is cut off, or alone: after a second it serves what it can.
+// Guards against a host that waits without end for answers after a pause. It is cut off or alone, and
+// serves what it can after catchUpTimeout.
 func TestWokenHostThatNobodyAnswersGoesOn(t *testing.T) {
 	l := resumedScheduler(t)
 	require.False(t, l.isServed("after"))
@@ -115,8 +120,9 @@
 	require.True(t, l.isServed("later"))
 }
 
-// A scheduler granted a place, the host that waits for it is paused for a second and a half, and finds the grant in
-// its socket with half a second of the lease left. The scheduler knew nothing newer than the host did before its pause.
+// Guards against a grant from before a pause. The host that waits for it is paused for 1.5 s and finds it
+// in its socket with 0.5 s of the lease left; the scheduler's state is no newer than what the host knew
+// before its pause.
 func TestGrantOfBeforeAPauseIsNotUsed(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -125,8 +131,9 @@
 	require.Empty(t, dispatches(l.grant(a, "b0", echo, selfIncarnation)))
 }
 
-// A grant is held up on the way for three seconds while both hosts run. The scheduler counts its lease as ended and
-// may have given the slot away: this host's own clock has to say so, with no pause of its own in between.
+// Guards against an expired grant. It is delayed by 3 s in the network while both hosts run. The scheduler
+// counts the lease as ended and may have granted the slot again, so this host's own clock must reject the
+// grant, without a pause of its own.
 func TestGrantThatWasLateOnItsWayIsNotUsed(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -139,8 +146,9 @@
 	require.Empty(t, dispatches(l.grant(a, "b0", echo, selfIncarnation)))
 }
 
-// Two hosts of a rack wake up together. Each told the other that it had just woken, and was answered at once by one that
-// had just woken too, which asked for an answer in turn: as fast as the network carries it, until both had caught up.
+// Guards against two hosts that catch up at the same time and answer each other's heartbeats without end:
+// each answer reported that its sender was catching up and so was answered in turn, as fast as the network
+// allowed.
 func TestTwoWokenHostsDoNotAnswerEachOther(t *testing.T) {
 	l := resumedScheduler(t)
 	l.feed(core.Tick{})
--- a/internal/core/guards_test.go
+++ b/internal/core/guards_test.go
@@ -16,7 +16,8 @@
 	"fireflyshift/internal/sched"
 )
 
-// singleHost is one reducer that a test speaks to message by message. Host "peer" schedules its groups.
+// singleHost is one reducer that a test drives message by message. Host "peer" schedules the group of
+// service.
 type singleHost struct {
 	t    *testing.T
 	core *core.Core
@@ -62,7 +63,7 @@
 	return l.feed(core.PeerMessage{From: "peer", Incarnation: peerIncarnation, Message: m})
 }
 
-// submit sends a request and returns what the peer is asked.
+// submit submits a request and returns the Acquire that the peer receives.
 func (l *singleHost) submit(id string) *peerpb.Acquire {
 	l.t.Helper()
 	effects := l.feed(core.Submit{ID: id, Workspace: "w", Service: service, Priority: 1, Deadline: time.Minute, OutputTokens: 1})
@@ -90,7 +91,7 @@
 	return out
 }
 
-// service is one whose group the peer schedules: duties go by hash.
+// service is a service whose group the peer schedules by rendezvous hashing.
 var service = func() string {
 	for i := 0; ; i++ {
 		name := fmt.Sprint("s", i)
@@ -100,8 +101,8 @@
 	}
 }()
 
-// A process is paused with a grant in its socket buffer and wakes up seconds later. By then others
-// count the lease as ended, and the server may have been given away or told to leave.
+// Guards against a grant that waited out a pause in a socket buffer. Others count its lease as ended, and
+// the slot may have been granted again or the server may be leaving.
 func TestGrantThatWaitedOutAPauseIsNotUsed(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -111,8 +112,8 @@
 	require.Empty(t, dispatches(l.grant(a, "b0", echo, selfIncarnation)))
 }
 
-// The scheduler sends a grant just before it hears that a server leaves; this host has heard it
-// already. The server must get no new work from here.
+// Guards against a dispatch to a leaving server. The scheduler sends a grant just before it learns that
+// the server leaves; this host knows already.
 func TestGrantThatCrossedTheNewsOfLeavingIsNotUsed(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -120,7 +121,8 @@
 	require.Empty(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)))
 }
 
-// The host list alone shows a server's machine leaving; its record is not changed.
+// Guards against a dispatch to a machine that only the host list shows as leaving; the record of the
+// server is unchanged.
 func TestGrantOnAMachineThatTheHostListShowsLeaving(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -129,8 +131,8 @@
 	require.Empty(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)))
 }
 
-// A host was replaced under the same name. A grant meant for its forerunner, or for an attempt that
-// it has given up, would be a dispatch that nobody counts.
+// Guards against a dispatch that no scheduler accounts for: the grant is meant for the previous
+// incarnation of this host, or for an attempt that it has given up.
 func TestGrantForAnotherIncarnationOrAttempt(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -142,8 +144,8 @@
 	require.Empty(t, dispatches(l.grant(old, "b0", l.now, selfIncarnation)), "the attempt was given up")
 }
 
-// The scheduler repeats a grant, since an answer may have been lost. The work must not be sent
-// twice.
+// Guards against a second dispatch if the scheduler repeats a grant, as it does when an answer may have
+// been lost.
 func TestRepeatedGrantIsDispatchedOnce(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -151,8 +153,8 @@
 	require.Empty(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)))
 }
 
-// A process that was replaced wakes up and its old links still deliver. What it says is of the
-// past: it must change nothing.
+// Guards against out-of-date messages of a replaced process: it resumes after a pause and its old links
+// still deliver.
 func TestMessageOfAReplacedProcessIsDropped(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -160,8 +162,8 @@
 	require.Empty(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)))
 }
 
-// All servers of a service refuse connections for a while. Every request tries again at once and
-// at once again, and the network is full of tries; the retry budget ends them after a share.
+// Guards against a retry storm. All servers of a service refuse connections for a while and every request
+// is retried at once; the retry budget limits the retries to a share of the requests.
 func TestRetryBudgetEndsARetryStorm(t *testing.T) {
 	l := newSingleHost(t)
 	tries, refused := 0, 0
@@ -184,11 +186,11 @@
 		}
 	}
 	require.Equal(t, 90, refused)
-	require.LessOrEqual(t, tries, 90+50+9, "one try each, the saved budget, and a tenth")
+	require.LessOrEqual(t, tries, 90+50+9, "one attempt per request, the saved budget, and a tenth")
 }
 
-// A host is cut off from all others. Were the workspace's rate divided by the hosts it still sees,
-// each side of a partition would hand out the whole rate.
+// Guards against a rate limit that a network partition multiplies. If the rate were divided by the number
+// of reachable hosts, each side would allow the whole rate.
 func TestPartitionDoesNotMultiplyARate(t *testing.T) {
 	workspace := record.Raw{Kind: record.KindWorkspace, Name: "w", Schema: 1, Revision: 9, Body: []byte(
 		`{"key_sha256":["` + fmt.Sprintf("%064d", 1) + `"],"tiers":["t"],"limits":{"requests_per_second":40,"burst":40}}`)}
@@ -206,13 +208,13 @@
 			}
 		}
 	}
-	require.LessOrEqual(t, accepted, 8, "its part of 40 over 8 hosts, with slack for the balancer")
+	require.LessOrEqual(t, accepted, 8, "its part of 40 over 8 hosts, with slack for an uneven load balancer")
 	require.Positive(t, accepted)
 }
 
-// This zone is crowded, so a push check goes to another zone that said it had room; it has none
-// after all and refuses. The caller was told "overloaded" while tags still ran at home: the request
-// has to come back and wait, or displace, where it belongs.
+// Guards against refusing an urgent request that another zone refused. This zone has no free slot, so the
+// request spills to a zone that reported free slots but has none left. The caller got "overloaded" while
+// lower work still ran in this zone; the request has to return and wait, or preempt, here.
 func TestRequestRefusedByAnotherZoneComesBack(t *testing.T) {
 	l := newSingleHost(t)
 	l.feed(core.HostList{Hosts: []core.ListedHost{{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}},
@@ -223,7 +225,7 @@
 	l.message(&peerpb.Message{Body: &peerpb.Message_ZoneDigest{ZoneDigest: &peerpb.ZoneDigest{Zone: "y", Origin: "far", Sequence: 1,
 		Relayed: true, Groups: []*peerpb.ServiceSummary{{Service: service, Scheduler: "far", Free: 5}}}}})
 	a := l.submit("r")
-	require.True(t, a.Spilled, "the other zone said that it had room")
+	require.True(t, a.Spilled, "the other zone reported free slots")
 	l.feed(core.PeerLinked{Host: member.Host{ID: "far", Zone: "y", Addr: "f"}, Incarnation: 3})
 	effects := l.feed(core.PeerMessage{From: "far", Incarnation: 3, Message: &peerpb.Message{Body: &peerpb.Message_Refusal{
 		Refusal: &peerpb.Refusal{Request: a.Request, Attempt: a.Attempt, Kind: string(fault.Overloaded)}}}})
@@ -234,7 +236,7 @@
 	require.False(t, reacquired.Message.GetAcquire().Spilled)
 }
 
-// learnRemoteZone tells a lone host of another zone that serves the test's service.
+// learnRemoteZone delivers a digest of another zone that serves the test's service.
 func (l *singleHost) learnRemoteZone(s *peerpb.ServiceSummary) {
 	l.t.Helper()
 	l.feed(core.HostList{Hosts: []core.ListedHost{{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}},
@@ -243,7 +245,7 @@
 		Sequence: uint64(l.now / time.Millisecond), Relayed: true, Groups: []*peerpb.ServiceSummary{s}}}})
 }
 
-// acquireTargets lists the hosts that a request is sent to by effects.
+// acquireTargets returns the hosts that effects send an Acquire to.
 func acquireTargets(effects []core.Effect) []string {
 	var out []string
 	for _, e := range effects {
@@ -254,8 +256,8 @@
 	return out
 }
 
-// The scheduler of the other zone is dead, and the news of it is seconds old. The caller's request
-// was asked for there again and again until its deadline, with free servers at home.
+// Guards against repeating a request in an unreachable zone. The scheduler there is dead and the digest
+// seconds old; the request was repeated there until its deadline, while servers of this zone were free.
 func TestRequestToASilentZoneComesBack(t *testing.T) {
 	l := newSingleHost(t)
 	l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{SentMs: uint64(l.now / time.Millisecond),
@@ -267,21 +269,21 @@
 	require.Equal(t, []string{"peer"}, acquireTargets(l.feed(core.Tick{})))
 }
 
-// Only another zone has servers of a service, and they are busy. A buyer's request must wait there
-// as it would at home; it was refused as if no server existed.
+// Guards against refusing a request whose service only another zone has. Its servers are busy, so the
+// request has to wait there as it would here; it was refused as if no server existed.
 func TestServiceThatOnlyAnotherZoneHas(t *testing.T) {
 	l := newSingleHost(t)
 	l.feed(core.PlatformRecords{Records: []record.Raw{{Kind: record.KindBackend, Name: "b0", Schema: 1, Revision: 20, Deleted: true}}, Current: true})
 	l.learnRemoteZone(&peerpb.ServiceSummary{Service: service, Scheduler: "far", Free: 0, Waiting: 3})
 	a := l.submit("r")
-	require.False(t, a.Spilled, "it may wait there")
+	require.False(t, a.Spilled, "the request may wait there")
 	l.now += 1100 * time.Millisecond
 	l.heartbeat()
 	l.learnRemoteZone(&peerpb.ServiceSummary{Service: service, Scheduler: "far2", Free: 0, Waiting: 3})
-	require.Equal(t, []string{"far2"}, acquireTargets(l.feed(core.Tick{})), "it follows the duty to the next host")
+	require.Equal(t, []string{"far2"}, acquireTargets(l.feed(core.Tick{})), "the request follows the scheduler role to the next host")
 }
 
-// nonReaderPeers are hosts beside which this host is not one of the zone's readers of the platform.
+// nonReaderPeers returns zone peers with which this host is not one of the zone's readers of the platform.
 func nonReaderPeers() []string {
 	others := []string{"r0", "r1", "r2", "r3"}
 	for i := 4; slices.Contains(member.Top("reader/z", append([]string{"self", "peer"}, others...), 2), "self"); i++ {
@@ -290,7 +292,7 @@
 	return append(others, "peer")
 }
 
-// heartbeatsFrom brings a heartbeat of each host.
+// heartbeatsFrom delivers a heartbeat from each host.
 func (l *singleHost) heartbeatsFrom(hosts []string, readsPlatform bool) {
 	l.t.Helper()
 	for _, h := range hosts {
@@ -300,13 +302,13 @@
 	}
 }
 
-// Both hosts of a zone that watch the platform are answered by a stale copy of it, and say truly that
-// they reach it. No host would hear of a change for as long as that lasts; each takes a turn.
+// Guards against readers that are served by a stale replica of the platform and correctly report that they
+// reach it. No host would learn of a change while that lasts, so each host reads the platform in turn.
 func TestEveryHostTakesATurnAtThePlatform(t *testing.T) {
 	l := newSingleHost(t)
 	others := nonReaderPeers()
 	turns := 0
-	for i := 0; i < 32*5; i++ { // six hosts take a turn of 4 s each
+	for i := 0; i < 32*5; i++ { // six hosts take turns of 4 s each
 		l.now += 200 * time.Millisecond
 		l.heartbeatsFrom(others, true)
 		for _, e := range l.feed(core.Tick{}) {
@@ -318,8 +320,8 @@
 	require.GreaterOrEqual(t, turns, 1, "in 32 s")
 }
 
-// A dispatch was proved not sent and the request waits again, when the traffic side's word on the
-// old attempt comes a second time. The caller would get an answer that nobody gave.
+// Guards against a late, repeated report of an old attempt. The dispatch was proved not sent and the
+// request waits again; the caller would get an answer that no server gave.
 func TestLateWordOnAnOldAttemptChangesNothing(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
@@ -329,15 +331,15 @@
 	require.Equal(t, 1, l.core.Requests())
 }
 
-// The hosts that watch the platform are cut off from it. For as long as nobody says that he reaches
-// it, every host has to try for itself, within seconds and not in its turn.
+// Guards against a zone whose readers are cut off from the platform. While no host reports that it reaches
+// the platform, every host has to try within seconds and not only in its turn.
 func TestHostReadsWhenNobodyElseDoes(t *testing.T) {
 	l := newSingleHost(t)
 	others := nonReaderPeers()
 	l.heartbeatsFrom(others, true)
 	l.feed(core.Tick{})
 	on := false
-	for i := 0; i < 15; i++ { // three seconds
+	for i := 0; i < 15; i++ { // 3 s
 		l.now += 200 * time.Millisecond
 		l.heartbeatsFrom(others, false)
 		for _, e := range l.feed(core.Tick{}) {
@@ -349,9 +351,8 @@
 	require.True(t, on)
 }
 
-// A push of records to this host was lost. The peer's heartbeat shows a digest that differs; the host
-// must ask for what it lacks, or the lost change would never be in force here while the platform is
-// away.
+// Guards against a lost push of records. The peer's heartbeat shows a different digest; the host must pull
+// what it lacks, or the change would not be in force here while the platform is down.
 func TestLostRecordIsAskedFor(t *testing.T) {
 	l := newSingleHost(t)
 	out := l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{
--- a/internal/core/random_test.go
+++ b/internal/core/random_test.go
@@ -12,8 +12,8 @@
 	"fireflyshift/internal/ticket"
 )
 
-// TestMain fixes the seed unless one is given: CI's verdict has to be the same every run. Long runs
-// with fresh seeds are 'make soak'.
+// TestMain fixes the seed unless one is given, so that CI gets the same result every run. "make soak" runs
+// longer with fresh seeds.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" && os.Getenv("FIREFLYSHIFT_SOAK") == "" {
@@ -29,12 +29,13 @@
 
 var totalSteps, totalFaults, totalSheds int
 
-// TestPromisesUnderFaults lets callers, operators and faults act at random on six hosts in two
-// availability zones.
+// TestPromisesUnderFaults applies random actions of callers and operators and random faults to six hosts
+// in two availability zones.
 //
-// A user would see doubled grades, answers that never come, a refusal that lies, or a setting that
-// comes back. The causes are the faults below in any order: kills, pauses past every lease, cuts,
-// a platform that is down or stale, backend servers that refuse, lose answers or leave.
+// It guards against requests that run twice, answers that never come, refusals that are not true, and
+// settings that revert. The faults come in any order: kills, pauses longer than every lease, network
+// partitions, a platform that is down or stale, and backend servers that refuse connections, lose answers
+// or leave.
 func TestPromisesUnderFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(rt, "seed"), rt.Fatalf)
--- a/internal/core/stop_test.go
+++ b/internal/core/stop_test.go
@@ -11,7 +11,7 @@
 	"fireflyshift/internal/ticket"
 )
 
-// answers are the final ones among effects, by request.
+// answers returns the final answers among effects, by request.
 func answers(effects []core.Effect) map[string]*fault.Error {
 	out := map[string]*fault.Error{}
 	for _, e := range effects {
@@ -22,7 +22,8 @@
 	return out
 }
 
-// Guards against a host that ends without a word to its callers, with an untrue one, or with their slots and tickets kept.
+// Guards against a host that stops without answering its callers, with an answer that is not true, or
+// without releasing their slots and tickets.
 func TestStopEndsEveryRequestTruly(t *testing.T) {
 	l := newSingleHost(t)
 	require.Len(t, dispatches(l.grant(l.submit("runs"), "b0", l.now, selfIncarnation)), 1)
@@ -48,5 +49,5 @@
 	require.True(t, released && withdrawn && settled, "%v", effects)
 	late := answers(l.feed(core.Submit{ID: "late", Workspace: "w", Service: service, Deadline: time.Minute}))
 	require.Equal(t, fault.Draining, late["late"].Kind)
-	require.Empty(t, answers(l.feed(core.Stop{})), "each is answered once")
+	require.Empty(t, answers(l.feed(core.Stop{})), "each request is answered once")
 }
--- a/internal/core/suspects_test.go
+++ b/internal/core/suspects_test.go
@@ -16,10 +16,10 @@
 
 var deadly = quarantine.Identity{Workspace: "school", Target: "/deadly"}.Digest()
 
-// sendDeadly lets a caller send its deadly request to a host, and waits for what comes of it.
+// sendDeadly submits a deadly request at a host and waits for its answer.
 func (w *world) sendDeadly(h *fakeHost) *fakeRequest {
 	w.seq++
-	r := &fakeRequest{id: fmt.Sprintf("d%05d", w.seq), service: modelService, host: h, born: h.incarnation, until: w.now + 5*time.Second}
+	r := &fakeRequest{id: fmt.Sprintf("d%05d", w.seq), service: modelService, host: h, hostIncarnation: h.incarnation, until: w.now + 5*time.Second}
 	w.requests[r.id] = r
 	w.deadly[r.id] = true
 	w.feed(h, core.Submit{ID: r.id, Workspace: "school", Service: modelService, Tier: "low", PromptTokens: 100, OutputTokens: 20,
@@ -37,15 +37,16 @@
 	return w
 }
 
-// A deadly request comes to hosts of two zones in turn, so that no host sees more than one end at first. Once three are known,
-// all hosts refuse it, truly as not run, one that was replaced meanwhile too. After a minute one host lets it run
-// once.
+// Guards against a deadly request that keeps ending backend servers. It comes to hosts of two zones in
+// turn, so that no host sees more than one end at first. Once three ends are known, all hosts refuse it,
+// truly as not run, also one that was replaced meanwhile. After a minute one host lets it run once as a
+// trial.
 func TestDeadlyRequestIsRefusedEverywhere(t *testing.T) {
 	w := healthyWorld(t)
 	hosts := []string{"za-h1", "zb-h1", "za-h2"}
 	for _, id := range hosts {
 		w.sendDeadly(w.hosts[id])
-		w.advance(3 * time.Second) // also where the same server ends again
+		w.advance(3 * time.Second) // longer than the window in which ends of one server count as one
 	}
 	require.Equal(t, 3, w.deadlyRuns)
 	w.kill(w.hosts["zb-h2"])
@@ -68,7 +69,8 @@
 	require.Equal(t, 4, w.deadlyRuns)
 }
 
-// A request waits for a slot while another host finds out that it is deadly. Its grant must not be used, and goes back.
+// Guards against dispatching a request that is quarantined while it waits for a slot: its grant must not
+// be used, and is released.
 func TestWaitingRequestIsFoundOut(t *testing.T) {
 	l := newSingleHost(t)
 	effects := l.feed(core.Submit{ID: "r", Workspace: "w", Service: service, Priority: 1, Deadline: time.Minute, OutputTokens: 1, Digest: deadly})
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -16,8 +16,8 @@
 	"fireflyshift/internal/ticket"
 )
 
-// world is a set of small fakes around several reducers: links that keep order but can be cut,
-// backend servers that count runs, a platform that can be down or stale. Time is a number.
+// world simulates the surroundings of several reducers: links that keep order but can be cut, backend
+// servers that count runs, and a platform that can be down or stale. Time is simulated.
 type world struct {
 	fail          func(format string, args ...any)
 	rng           *rand.Rand
@@ -25,20 +25,21 @@
 	hosts         map[string]*fakeHost
 	ids           []string
 	links         map[[2]string][]queuedMessage
-	cut           map[[2]string]bool // pairs of zones, both orders
+	cut           map[[2]string]bool // pairs of zones: from, to
 	platform      fakePlatform
 	backends      map[string]*fakeBackend
 	requests      map[string]*fakeRequest
 	ops           []*operation
 	seq           int
-	lastFaultAt   time.Duration // latest moment at which a fault was active
-	lastOutageAt  time.Duration // the same without pauses, which excuse nothing that a host does once it is awake
-	lastBlockedAt time.Duration // latest moment at which news could not get everywhere
+	lastFaultAt   time.Duration // latest time at which a fault was active
+	lastOutageAt  time.Duration // the same without pauses, which excuse nothing that a host does after it
+	lastBlockedAt time.Duration // latest time at which updates could not reach every host
 	history       []published
 	steps         int
 	faults        int
 	sheds         int
-	// deadly requests end the backend servers that run them, which start again at once; deadlyRuns counts that.
+	// deadly requests end the backend servers that run them, which restart at once; deadlyRuns counts
+	// these runs.
 	deadly     map[string]bool
 	deadlyRuns int
 }
@@ -54,8 +55,8 @@
 	readAt      time.Duration
 	tickAt      time.Duration
 	draining    bool
-	inbox       []core.Event // what came while the process was paused
-	deferred    []func()     // effects that a pause has caught before they were carried out
+	inbox       []core.Event // events that arrived while the process was paused
+	deferred    []func()     // effects that are carried out at the next tick, or after a pause
 	revision    map[record.Key]uint64
 }
 
@@ -71,7 +72,7 @@
 type fakePlatform struct {
 	log   []record.Raw
 	down  map[string]bool // by host
-	stale map[string]int  // by host: how much of the log is seen
+	stale map[string]int  // by host: length of the visible part of the log
 }
 
 type fakeBackend struct {
@@ -80,23 +81,23 @@
 	leavingAt           time.Duration
 	leaving             bool
 	runs                map[string]int
-	running             map[string]time.Duration // request to end
-	remaining           map[string]time.Duration // suspended work
-	losesAnswers        bool                     // answers are lost after the work
+	running             map[string]time.Duration // end time by request
+	remaining           map[string]time.Duration // remaining run time by suspended request
+	losesAnswers        bool                     // answers are lost after the run
 }
 
 type fakeRequest struct {
-	id       string
-	service  string
-	priority uint32
-	began    time.Duration // on a backend server
-	host     *fakeHost
-	born     uint64 // the host's incarnation
-	backend  string
-	answers  []*fault.Error
-	attempt  uint32
-	lost     bool // its host was killed
-	until    time.Duration
+	id              string
+	service         string
+	priority        uint32
+	began           time.Duration // start of the run on a backend server
+	host            *fakeHost
+	hostIncarnation uint64 // incarnation of the host that accepted it
+	backend         string
+	answers         []*fault.Error
+	attempt         uint32
+	lost            bool // the host was killed
+	until           time.Duration
 }
 
 type operation struct {
@@ -105,7 +106,7 @@
 	tries  []*fakeRequest
 }
 
-// published is when the platform had a revision.
+// published is a revision and the time at which it was published.
 type published struct {
 	at       time.Duration
 	revision uint64
@@ -174,7 +175,7 @@
 		"addr": fmt.Sprintf("10.0.0.%d:80", len(name)), "slots": 2, "state": state, "suspend": b.service == modelService})
 }
 
-// start starts a host process that knows nothing, as a replaced host does.
+// start starts a host process without state, as a replaced host does.
 func (w *world) start(id, zone string) {
 	h := &fakeHost{id: id, zone: zone, alive: true, incarnation: w.rng.Uint64()>>12 | 1, startedAt: w.now, revision: map[record.Key]uint64{}}
 	if _, known := w.hosts[id]; !known {
@@ -182,7 +183,7 @@
 	}
 	w.hosts[id] = h
 	opt := sched.DefaultOptions()
-	opt.MinQueue, opt.QueuePerSlot = 4, 1 // small, so that bursts overflow
+	opt.MinQueue, opt.QueuePerSlot = 4, 1 // small, so that bursts exceed the bound
 	h.core = core.New(core.Options{Self: member.Host{ID: id, Zone: zone, Addr: "addr-" + id}, Incarnation: h.incarnation,
 		Sched: opt, MaxRequests: 1000})
 	var list core.HostList
@@ -201,7 +202,7 @@
 	}
 }
 
-// link opens the stream from one host to another; what was under way on an older one is lost.
+// link opens the stream from one host to another; messages in flight on an older one are lost.
 func (w *world) link(from, to *fakeHost) {
 	delete(w.links, [2]string{from.id, to.id})
 	w.feed(to, core.PeerUnlinked{Host: from.id, Incarnation: from.incarnation})
@@ -209,7 +210,7 @@
 	w.feed(from, core.LinkOpened{Host: to.id})
 }
 
-// kill ends a host with all it held.
+// kill kills a host with everything that it holds.
 func (w *world) kill(h *fakeHost) {
 	h.alive = false
 	for _, id := range w.ids {
@@ -243,11 +244,11 @@
 	}
 }
 
-// checkRevisions asserts that no record in force ever goes back.
+// checkRevisions asserts that no record in force goes back to an older revision.
 func (w *world) checkRevisions(h *fakeHost) {
 	for _, r := range h.core.Config().After(0) {
 		if r.Revision < h.revision[r.Key()] {
-			w.fail("host %s: %s went back from %d to %d", h.id, r.Key(), h.revision[r.Key()], r.Revision)
+			w.fail("host %s: %s reverted from revision %d to %d", h.id, r.Key(), h.revision[r.Key()], r.Revision)
 		}
 		h.revision[r.Key()] = r.Revision
 	}
@@ -258,7 +259,7 @@
 	case core.Send:
 		w.sendMessage(h, e)
 	case core.Dispatch:
-		// The traffic thread runs a little later; a pause of the process may come in between.
+		// The traffic side runs a little later; a pause of the process may come in between.
 		w.deferEffect(h, func() { w.dispatch(h, e) })
 	case core.Suspend:
 		w.deferEffect(h, func() { w.suspend(h, e.ID) })
@@ -286,7 +287,7 @@
 	w.links[k] = append(w.links[k], queuedMessage{at, h.id, h.incarnation, e.Message})
 }
 
-// dispatch writes a request to a backend server, as the edge does: not after the lease.
+// dispatch sends a request to a backend server as the edge does, unless the lease has expired.
 func (w *world) dispatch(h *fakeHost, d core.Dispatch) {
 	r := w.requests[d.ID]
 	if r == nil || len(r.answers) > 0 {
@@ -304,7 +305,7 @@
 	}
 	since := max(b.leavingAt, w.lastOutageAt)
 	if b.leaving && w.now > since+leaveTimeout {
-		w.fail("backend server %s got work %s after it began to leave", b.name, w.now-b.leavingAt)
+		w.fail("backend server %s got a request %s after it began to leave", b.name, w.now-b.leavingAt)
 	}
 	work := time.Duration(20+w.rng.IntN(300)) * time.Millisecond
 	if d.Resume {
@@ -316,8 +317,9 @@
 	r.began = w.now
 }
 
-// checkShed asserts that nothing was shed while lower work ran untouched on a server of its zone
-// that could have been interrupted for it. In times of faults a scheduler may not see all of it.
+// checkShed asserts that no request was shed while a run of a lower priority that could have been
+// preempted for it ran on a server of its zone. While faults last, a scheduler may not know of all of
+// these.
 func (w *world) checkShed(r *fakeRequest) {
 	if r.service != modelService || w.now-w.lastFaultAt < shedSettleTime {
 		return
@@ -338,7 +340,7 @@
 	r := w.requests[id]
 	b := w.backends[r.backend]
 	if b == nil {
-		return // asked for before the dispatch was carried out
+		return // requested before the dispatch was carried out
 	}
 	end, ok := b.running[id]
 	if !ok {
@@ -346,7 +348,7 @@
 	}
 	delete(b.running, id)
 	for _, other := range w.backends {
-		other.remaining[id] = end - w.now // the export can be taken in anywhere
+		other.remaining[id] = end - w.now // any server can import the export
 	}
 	w.feed(h, core.DispatchEnded{ID: id, Attempt: r.attempt, Outcome: core.Suspended})
 }
@@ -374,7 +376,7 @@
 	return n
 }
 
-// advance lets time pass in ticks of the daemon.
+// advance advances time in ticks of the daemon.
 func (w *world) advance(d time.Duration) {
 	for until := w.now + d; w.now < until; {
 		w.now += core.TickInterval
@@ -396,8 +398,8 @@
 	w.checkInForce()
 }
 
-// updatesBlocked tells that some host could not hear of a change: it is cut off, paused or dead, or no
-// host at all reads the platform as it is.
+// updatesBlocked reports whether some host cannot receive a change: it is cut off, paused or dead, or no
+// host reads the current state of the platform.
 func (w *world) updatesBlocked() bool {
 	readers := 0
 	for _, id := range w.ids {
@@ -413,7 +415,7 @@
 	return readers == 0
 }
 
-// checkInForce asserts that a change is in force everywhere within the bound, also where only one
+// checkInForce asserts that a change is in force on every host within the time limit, even if only one
 // host can read the platform.
 func (w *world) checkInForce() {
 	for _, p := range w.history {
@@ -440,7 +442,7 @@
 	return w.hasOutage()
 }
 
-// hasOutage tells that news may not get everywhere, though all hosts that are there are awake.
+// hasOutage reports whether updates may not reach every host, not counting pauses of processes.
 func (w *world) hasOutage() bool {
 	if len(w.cut) > 0 || len(w.platform.down) > 0 || len(w.platform.stale) > 0 {
 		return true
@@ -453,13 +455,13 @@
 	return false
 }
 
-// drain tells a host to shut down gracefully.
+// drain starts the graceful shutdown of a host.
 func (w *world) drain(h *fakeHost) {
 	h.draining = true
 	w.feed(h, core.Drain{})
 }
 
-// stopDrained ends a draining host that holds no request, as the daemon does, and replaces it.
+// stopDrained ends a draining host that holds no requests, as the daemon does, and replaces it.
 func (w *world) stopDrained(h *fakeHost) {
 	if !h.draining || h.core.Requests() > 0 {
 		return
@@ -467,7 +469,7 @@
 	w.end(h)
 }
 
-// stop ends a host whose time to drain is over, with what it has in hand, and replaces it.
+// stop ends a host whose drain time is over, with the requests that it holds, and replaces it.
 func (w *world) stop(h *fakeHost) {
 	w.feed(h, core.Stop{})
 	w.end(h)
@@ -547,7 +549,7 @@
 	}
 }
 
-// work ends what the backend servers have done.
+// work ends the runs that the backend servers have completed.
 func (w *world) work() {
 	names := make([]string, 0, len(w.backends))
 	for n := range w.backends {
@@ -579,17 +581,17 @@
 	if w.deadly[id] {
 		w.deadlyRuns++
 	}
-	if r.host.incarnation == r.born {
+	if r.host.incarnation == r.hostIncarnation {
 		w.feed(r.host, core.DispatchEnded{ID: id, Attempt: r.attempt, Outcome: outcome, BackendEnded: w.deadly[id], FirstToken: 20 * time.Millisecond,
 			Interval: 5 * time.Millisecond, Tokens: 10})
 	}
 }
 
-// submit sends one try of a caller.
+// submit submits one attempt of a caller.
 func (w *world) submit(h *fakeHost, op *operation, service string, priority uint32, nonIdempotent bool) *fakeRequest {
 	w.seq++
-	r := &fakeRequest{id: fmt.Sprintf("r%05d", w.seq), service: service, priority: priority, host: h, born: h.incarnation, until: w.now + 5*time.Second}
-	r.lost = !h.alive // the caller's connection is refused
+	r := &fakeRequest{id: fmt.Sprintf("r%05d", w.seq), service: service, priority: priority, host: h, hostIncarnation: h.incarnation, until: w.now + 5*time.Second}
+	r.lost = !h.alive // the connection is refused
 	w.requests[r.id] = r
 	op.tries = append(op.tries, r)
 	w.feed(h, core.Submit{ID: r.id, Workspace: "school", Service: service, Tier: "t", Priority: priority, PromptTokens: 100,
@@ -597,7 +599,7 @@
 	return r
 }
 
-// heal ends all faults.
+// heal ends all faults and restarts dead hosts.
 func (w *world) heal() {
 	w.cut = map[[2]string]bool{}
 	w.platform.down, w.platform.stale = map[string]bool{}, map[string]int{}
@@ -614,8 +616,8 @@
 	}
 }
 
-// resume lets a paused process go on: its timer may fire before anything else; then come the effects that it had not
-// carried out, then what waited.
+// resume resumes a paused process: its timer may fire first; then come the deferred effects, then the
+// events that arrived.
 func (w *world) resume(h *fakeHost) {
 	if !h.paused {
 		return
@@ -636,7 +638,7 @@
 	}
 }
 
-// checkFinalState checks what must hold at the end, with all faults healed and time gone by.
+// checkFinalState checks the invariants after all faults have been healed and time has passed.
 func (w *world) checkFinalState() {
 	for _, r := range w.requests {
 		w.checkRequest(r)
@@ -650,7 +652,7 @@
 			runs += w.runsOf(r.id)
 		}
 		if runs > 1 {
-			w.fail("operation %d ran %d times over %d tries", op.id, runs, len(op.tries))
+			w.fail("operation %d ran %d times over %d attempts", op.id, runs, len(op.tries))
 		}
 	}
 	want := uint64(len(w.platform.log))
@@ -677,7 +679,7 @@
 	}
 	f := r.answers[0]
 	if f == nil && runs != 1 {
-		w.fail("request %s was answered whole with %d runs", r.id, runs)
+		w.fail("request %s got a complete answer with %d runs", r.id, runs)
 	}
 	if f != nil && f.Ran == fault.NotRun && runs != 0 {
 		w.fail("request %s was refused as not run (%s) and ran", r.id, f.Kind)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,6 @@
-// Package member keeps one host's view of the other hosts: the platform's lagging list says who
-// may exist, heartbeats say who lives. Duties are computed from the view by rendezvous hashing, so
-// no host holds one by election.
+// Package member keeps a host's view of the other hosts. The platform's list of hosts, which lags, states
+// which may exist; heartbeats show which are alive. Roles are computed from the view by rendezvous
+// hashing, so that no election is needed.
 package member
 
 import (
@@ -10,23 +10,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Times of the failure detector.
+// Settings of the failure detector.
 const (
-	// Heartbeats slow down as a zone grows, so that their bytes per host stay level.
+	// The heartbeat interval grows with the zone, so that the bytes per host stay constant.
 	intervalPerHost = 25 * time.Millisecond
 	minInterval     = 200 * time.Millisecond
 	maxInterval     = 2 * time.Second
-	// A host is dead for duties after deadIntervals without a heartbeat and a little more, or
-	// unlinkedGrace after its last link broke: a process that dies closes its links at once, and
-	// only a dead machine or a cut has to be waited for.
+	// A host loses its roles after deadIntervals heartbeat intervals plus deadMargin without a heartbeat,
+	// or unlinkedGrace after its last link broke: a process that dies closes its links at once, so only a
+	// dead machine or a network partition needs the longer timeout.
 	deadIntervals = 4
 	deadMargin    = 400 * time.Millisecond
 	unlinkedGrace = 300 * time.Millisecond
-	// UnlistedTTL keeps an unlisted host that still sends heartbeats: the platform's list lags.
+	// UnlistedTTL is how long an unlisted host is kept after its last message: the platform's list lags.
 	UnlistedTTL = 30 * time.Second
 )
 
-// Host is what the platform's list, the settings or a link say of a host.
+// Host describes a host, as given by the platform's list, the settings or a link.
 type Host struct {
 	ID      string
 	Zone    string
@@ -34,7 +34,7 @@
 	Leaving bool
 }
 
-// peer is the live state of another host.
+// peer is the state of another host.
 type peer struct {
 	Host
 	listed       bool
@@ -42,18 +42,18 @@
 	heartbeatAt  time.Duration
 	hasHeartbeat bool
 	lastSeenAt   time.Duration // latest link or heartbeat
-	echo         uint64        // the peer's clock in its latest heartbeat, ms
-	draining     bool          // takes no duties while another host does
+	echo         uint64        // latest known reading of the peer's clock, in ms
+	draining     bool          // takes roles only if all hosts of the zone drain
 	catchingUp   bool
-	links        int // open links from the peer
+	links        int // number of open links from the peer
 	unlinkedAt   time.Duration
 }
 
-// View is one host's membership view. It is not safe for concurrent use.
+// View is the membership view of one host. It is not safe for concurrent use.
 type View struct {
 	self     Host
 	draining bool
-	// catchingUp keeps duties away from this host while what it knows may be of before a pause.
+	// catchingUp keeps roles away from this host while its state may be from before a pause.
 	catchingUp  bool
 	peers       map[string]*peer
 	version     uint64
@@ -61,13 +61,13 @@
 	zoneSize    int
 }
 
-// NewView returns a view that knows only the host itself.
+// NewView returns a view that contains only the host itself.
 func NewView(self Host) *View {
 	return &View{self: self, peers: map[string]*peer{}}
 }
 
-// SetList takes the platform's list of entry hosts. Absence from it is not death: an unlisted
-// host that heartbeats stays.
+// SetList applies the platform's list of entry hosts. A host that is missing from it is not dead: it stays
+// as long as it sends heartbeats.
 func (v *View) SetList(hosts []Host) {
 	for _, p := range v.peers {
 		p.listed = false
@@ -93,16 +93,17 @@
 	}
 }
 
-// HeartbeatInterval is the time between heartbeats.
+// HeartbeatInterval returns the time between heartbeats.
 func (v *View) HeartbeatInterval() time.Duration {
 	return min(max(time.Duration(v.zoneSize)*intervalPerHost, minInterval), maxInterval)
 }
 
-// DeadAfter is how long a linked host may be silent.
+// DeadAfter returns how long a linked host may go without a heartbeat.
 func (v *View) DeadAfter() time.Duration { return deadIntervals*v.HeartbeatInterval() + deadMargin }
 
-// Linked adds a host that opened a link to us. The incarnation of the latest link counts: it is
-// random, so a clock set back on the peer cannot make a restarted host look old.
+// Linked records a link that another host has opened to this one. The incarnation of the latest link
+// counts. It is random rather than a time, so that a restarted host does not look old if its clock was set
+// back.
 func (v *View) Linked(now time.Duration, h Host, incarnation uint64) {
 	if h.ID == v.self.ID {
 		return
@@ -119,7 +120,7 @@
 	v.countZone()
 }
 
-// Unlinked notes that a link from a peer has broken.
+// Unlinked records that a link from a peer has broken.
 func (v *View) Unlinked(now time.Duration, id string, incarnation uint64) {
 	p, ok := v.peers[id]
 	if !ok || p.incarnation != incarnation || p.links == 0 {
@@ -138,7 +139,8 @@
 	return p
 }
 
-// HeartbeatReceived notes a heartbeat: it was sent when the peer's clock showed sentMS.
+// HeartbeatReceived records a heartbeat, sent when the peer's clock showed sentMS. With draining set, the
+// peer takes no roles while another host can.
 func (v *View) HeartbeatReceived(now time.Duration, id string, incarnation, sentMS uint64, draining bool) {
 	p, ok := v.peers[id]
 	if !ok || p.incarnation != incarnation {
@@ -154,7 +156,7 @@
 	}
 }
 
-// Echo gives the latest clock reading and incarnation had from a peer.
+// Echo returns the latest known clock reading and incarnation of a peer, zero if there are none.
 func (v *View) Echo(id string) (ms, incarnation uint64) {
 	p, ok := v.peers[id]
 	if !ok {
@@ -163,23 +165,23 @@
 	return p.echo, p.incarnation
 }
 
-// Incarnation is the peer's latest known incarnation, zero if none.
+// Incarnation returns the latest known incarnation of a peer, zero if there is none.
 func (v *View) Incarnation(id string) uint64 {
 	_, inc := v.Echo(id)
 	return inc
 }
 
-// SetCatchingUp tells whether this host has woken up from a pause and has not heard the news yet.
+// SetCatchingUp sets whether this host is catching up after a pause; while it is, it takes no roles.
 func (v *View) SetCatchingUp(on bool) {
 	v.catchingUp = on
 	v.version++
 }
 
-// CatchingUp tells what SetCatchingUp was last told.
+// CatchingUp reports whether this host is catching up after a pause.
 func (v *View) CatchingUp() bool { return v.catchingUp }
 
-// ExcludePause takes a pause of this process off the silence of the others: nothing could be heard in it, so that it
-// says nothing of who lives.
+// ExcludePause excludes a pause of this process from the time without heartbeats of the peers: none could
+// be received during the pause, so it shows nothing about them.
 func (v *View) ExcludePause(pause time.Duration) {
 	for _, p := range v.peers {
 		p.heartbeatAt += pause
@@ -190,10 +192,9 @@
 	}
 }
 
-// takesRoles tells whether this host itself counts for duties.
 func (v *View) takesRoles() bool { return !v.draining && !v.catchingUp }
 
-// SetDraining marks this host itself as leaving.
+// SetDraining marks this host as draining.
 func (v *View) SetDraining() {
 	v.draining = true
 	v.version++
@@ -208,7 +209,7 @@
 	return p.hasHeartbeat && linked && now-p.heartbeatAt <= v.DeadAfter()
 }
 
-// Alive tells whether a host answers heartbeats and takes duties.
+// Alive reports whether a host is reachable and takes roles.
 func (v *View) Alive(now time.Duration, id string) bool {
 	if id == v.self.ID {
 		return v.takesRoles()
@@ -217,7 +218,8 @@
 	return ok && v.alive(now, p)
 }
 
-// Reachable is Alive without the regard to draining: a draining host still finishes its streams.
+// Reachable reports whether a host is alive, even if it is draining: a draining host still finishes its
+// streams.
 func (v *View) Reachable(now time.Duration, id string) bool {
 	if id == v.self.ID {
 		return true
@@ -226,7 +228,7 @@
 	return ok && v.reachable(now, p)
 }
 
-// Lookup finds a host by id.
+// Lookup returns a host by ID.
 func (v *View) Lookup(id string) (Host, bool) {
 	if id == v.self.ID {
 		return v.self, true
@@ -238,17 +240,17 @@
 	return p.Host, true
 }
 
-// ZonePeers lists the other hosts of this availability zone, by id.
+// ZonePeers returns the other known hosts of this availability zone, sorted by ID.
 func (v *View) ZonePeers() []Host {
 	return v.hostsWhere(func(p *peer) bool { return p.Zone == v.self.Zone })
 }
 
-// InZone lists the known hosts of any availability zone but ours, by id.
+// InZone returns the known hosts of another availability zone that are not leaving, sorted by ID.
 func (v *View) InZone(zone string) []Host {
 	return v.hostsWhere(func(p *peer) bool { return p.Zone == zone && !p.Leaving })
 }
 
-// OtherZones lists the other availability zones that have hosts, by name.
+// OtherZones returns the other availability zones with known hosts, sorted by name.
 func (v *View) OtherZones() []string {
 	seen := map[string]bool{v.self.Zone: true}
 	var out []string
@@ -273,15 +275,15 @@
 	return out
 }
 
-// SetPeerCatchingUp notes whether a peer may know only what was before a pause.
+// SetPeerCatchingUp sets whether a peer is catching up after a pause.
 func (v *View) SetPeerCatchingUp(id string, on bool) {
 	if p, ok := v.peers[id]; ok {
 		p.catchingUp = on
 	}
 }
 
-// Live lists the ids of the hosts of this zone that take duties, by id. Where all drain they keep their duties: what
-// waits with them would wait for good.
+// Live returns the IDs of the hosts of this zone that take roles, sorted. If all hosts drain they keep
+// their roles; otherwise requests that wait with them would never be scheduled.
 func (v *View) Live(now time.Duration) []string {
 	if live := v.zoneIDs(v.takesRoles(), func(p *peer) bool { return v.alive(now, p) }); len(live) > 0 {
 		return live
@@ -303,9 +305,9 @@
 	return out
 }
 
-// FleetSize is the number of hosts that share a fleet-wide limit. It comes from the platform's
-// list and not from heartbeats: during a partition heartbeats would count few hosts on each side,
-// and each side would hand out the whole limit.
+// FleetSize returns the number of hosts that share a fleet-wide limit. It is taken from the platform's
+// list: during a network partition each side would count only its own hosts by heartbeats and hand out the
+// whole limit.
 func (v *View) FleetSize() int {
 	if v.listedCount > 0 {
 		return v.listedCount
@@ -313,7 +315,7 @@
 	return len(v.peers) + 1
 }
 
-// DropStale drops hosts that are neither listed nor heard for ListedGrace.
+// DropStale removes hosts that are not listed and have sent nothing for UnlistedTTL.
 func (v *View) DropStale(now time.Duration) {
 	for id, p := range v.peers {
 		if !p.listed && now-p.lastSeenAt > UnlistedTTL {
@@ -323,10 +325,11 @@
 	v.countZone()
 }
 
-// Version grows with changes that come from messages. Deaths are a matter of time: compare Live.
+// Version returns a counter that grows with changes due to messages. Hosts also die by time-out, without a
+// change of the version: compare Live for that.
 func (v *View) Version() uint64 { return v.version }
 
-// Top returns the n hosts that rank first for a duty, best first (rendezvous hashing).
+// Top returns the n hosts that rank first for a role by rendezvous hashing, best first.
 func Top(role string, hosts []string, n int) []string {
 	type ranked struct {
 		id    string
@@ -349,7 +352,7 @@
 	return out
 }
 
-// Owner returns the host that ranks first for a duty, empty if there is none.
+// Owner returns the host that ranks first for a role, empty if there are no hosts.
 func Owner(role string, hosts []string) string {
 	top := Top(role, hosts, 1)
 	if len(top) == 0 {
@@ -358,8 +361,8 @@
 	return top[0]
 }
 
-// UpdateEcho keeps a peer's clock reading that came with another message than a heartbeat: hosts of
-// other zones send none, and have leases too.
+// UpdateEcho records a peer's clock reading from a message other than a heartbeat: hosts of other zones
+// send no heartbeats, but need leases too.
 func (v *View) UpdateEcho(id string, sentMS uint64) {
 	if p, ok := v.peers[id]; ok && sentMS > p.echo {
 		p.echo = sentMS
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -22,20 +22,20 @@
 	return v
 }
 
-// A process is killed. Its callers' work waits at schedulers until its death is noticed; the broken
-// link tells at once what missing heartbeats would tell after a second.
+// Guards against late detection of a killed process: its requests wait at schedulers until then. The
+// broken link shows the death at once, missing heartbeats only after about a second.
 func TestBrokenLinkIsNoticedBeforeMissingHeartbeats(t *testing.T) {
 	v := testView(3)
 	v.Unlinked(0, "h1", 1)
-	require.Equal(t, []string{"h0", "h1", "h2"}, v.Live(unlinkedGrace), "a link may break and come back")
+	require.Equal(t, []string{"h0", "h1", "h2"}, v.Live(unlinkedGrace), "a link may break and be opened again")
 	require.Equal(t, []string{"h0", "h2"}, v.Live(unlinkedGrace+1))
 	v.Linked(time.Second, Host{ID: "h1", Zone: "z", Addr: "x"}, 1)
 	require.Equal(t, []string{"h0", "h1", "h2"}, v.Live(unlinkedGrace+1))
-	require.Equal(t, []string{"h0"}, v.Live(v.DeadAfter()+1), "a machine that dies closes nothing")
+	require.Equal(t, []string{"h0"}, v.Live(v.DeadAfter()+1), "a dead machine closes no links")
 }
 
-// A zone grows from 3 to 45 hosts. With a fixed interval each host would spend its whole allowance
-// of control bytes on heartbeats alone.
+// Guards against a fixed heartbeat interval: in a zone of 45 hosts, heartbeats alone would use up each
+// host's limit of control bytes.
 func TestHeartbeatsPerHostStayLevelAsAZoneGrows(t *testing.T) {
 	for _, n := range []int{8, 15, 30, 45, 80} {
 		v := testView(n)
@@ -44,8 +44,8 @@
 	}
 }
 
-// The duty of a dead host goes to others, and only that one moves: every other group would pay for
-// a move with its scheduler's memory.
+// Guards against moving the roles of live hosts when another host dies: each move costs a group the state
+// of its scheduler.
 func TestOnlyTheDutiesOfTheDeadMove(t *testing.T) {
 	hosts := []string{"a", "b", "c", "d", "e"}
 	for i := 0; i < 200; i++ {
@@ -58,13 +58,13 @@
 	}
 }
 
-// Guards against a zone that is shut down as a whole and in which nobody schedules what still waits; and against duties of a
-// host that may know only what was before a pause.
+// Guards against a zone that is shut down as a whole and in which no host schedules the waiting requests,
+// and against roles of a host whose state may be from before a pause.
 func TestHostsThatAllDrainKeepTheirDuties(t *testing.T) {
 	v := testView(3)
 	v.SetDraining()
 	v.HeartbeatReceived(0, "h1", 1, 2, true)
-	require.Equal(t, []string{"h2"}, v.Live(0), "one that stays has all duties")
+	require.Equal(t, []string{"h2"}, v.Live(0), "the only host that does not drain has all roles")
 	v.HeartbeatReceived(0, "h2", 1, 2, true)
 	require.Equal(t, []string{"h0", "h1", "h2"}, v.Live(0))
 	v.SetPeerCatchingUp("h2", true)
--- a/internal/sched/backend.go
+++ b/internal/sched/backend.go
@@ -27,7 +27,7 @@
 	grantedAt   time.Duration
 	confirmedAt time.Duration // latest time that its entry host listed it
 	preemptedAt time.Duration
-	displacing  bool
+	preempting  bool
 	orphanedAt  time.Duration // when its entry host was lost; zero if it was not
 }
 
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -99,9 +99,9 @@
 	}
 	if b.spec.Addr != s.Addr {
 		// A server at another address is another machine, to which the learned values do not apply.
-		fresh := newBackend(s)
-		fresh.runs = b.runs // they end at the old address but use slots under this name until then
-		g.backends[s.Name] = fresh
+		replacement := newBackend(s)
+		replacement.runs = b.runs // they end at the old address but use slots under this name until then
+		g.backends[s.Name] = replacement
 		return
 	}
 	if b.spec.Slots != s.Slots {
@@ -167,15 +167,15 @@
 
 func (g *Group) newQueuedRequest(now time.Duration, r Request) *queuedRequest {
 	w := &queuedRequest{Request: r, arrived: now}
-	least := -1.0
+	minEstimate := -1.0
 	for _, name := range g.sortedNames {
 		b := g.backends[name]
 		w.cost += b.estimate(&r, g.expectedOutputRatio()) / float64(len(g.sortedNames))
-		if shown := b.measuredEstimate(&r, g.outputRatio); least < 0 || shown < least {
-			least = shown
+		if shown := b.measuredEstimate(&r, g.outputRatio); minEstimate < 0 || shown < minEstimate {
+			minEstimate = shown
 		}
 	}
-	w.latestStart = r.Deadline - fromMS(max(least, 0)*finishMargin)
+	w.latestStart = r.Deadline - fromMS(max(minEstimate, 0)*finishMargin)
 	return w
 }
 
--- a/internal/sched/group_test.go
+++ b/internal/sched/group_test.go
@@ -19,7 +19,7 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" && os.Getenv("FIREFLYSHIFT_SOAK") == "" {
-		_ = flag.Set("rapid.seed", "20261202") // CI's verdict is the same every run
+		_ = flag.Set("rapid.seed", "20261202") // so that CI gets the same result every run
 	}
 	os.Exit(m.Run())
 }
@@ -35,11 +35,11 @@
 	return g
 }
 
-// number makes a request number of a test's name for it.
-func number(id string) uint64 { return xxhash.Sum64String(id) }
+// requestNumber returns the request number for a name.
+func requestNumber(id string) uint64 { return xxhash.Sum64String(id) }
 
 func testRequest(id string, priority uint32, workspace string) Request {
-	return Request{Key: Key{"h", number(id)}, Attempt: 1, Workspace: workspace, Weight: 1, Priority: priority,
+	return Request{Key: Key{"h", requestNumber(id)}, Attempt: 1, Workspace: workspace, Weight: 1, Priority: priority,
 		PromptTokens: 100, OutputTokens: 20, Deadline: time.Hour}
 }
 
@@ -53,36 +53,36 @@
 	return out
 }
 
-// checker follows a group from outside and asserts what every decision must keep.
+// checker tracks the decisions of a group and asserts what each must keep.
 type checker struct {
-	t       *rapid.T
-	g       *Group
-	waiting map[Key]Request
-	running map[Key]Grant
-	asked   map[Key]bool // preempted
+	t         *rapid.T
+	g         *Group
+	waiting   map[Key]Request
+	running   map[Key]Grant
+	preempted map[Key]bool
 }
 
-func (c *checker) take(ds []Decision) {
+func (c *checker) apply(ds []Decision) {
 	for _, d := range ds {
 		switch d := d.(type) {
 		case Grant:
-			c.granted(d)
+			c.handleGrant(d)
 		case Refuse:
-			c.refused(d)
+			c.handleRefuse(d)
 		case Preempt:
 			if _, ok := c.running[d.Key]; !ok {
 				c.t.Fatalf("preempted %v, which does not run", d.Key)
 			}
-			c.asked[d.Key] = true
+			c.preempted[d.Key] = true
 		}
 	}
 }
 
-func (c *checker) granted(d Grant) {
+func (c *checker) handleGrant(d Grant) {
 	r, ok := c.waiting[d.Key]
 	if !ok {
 		if c.running[d.Key].Backend == d.Backend {
-			return // a repeated answer
+			return // a repeated grant
 		}
 		c.t.Fatalf("granted %v, which does not wait", d.Key)
 	}
@@ -93,12 +93,12 @@
 	}
 	delete(c.waiting, d.Key)
 	c.running[d.Key] = d
-	if n := c.on(d.Backend); n > c.g.backends[d.Backend].spec.Slots {
+	if n := c.countOn(d.Backend); n > c.g.backends[d.Backend].spec.Slots {
 		c.t.Fatalf("%d requests on %s", n, d.Backend)
 	}
 }
 
-func (c *checker) on(backend string) int {
+func (c *checker) countOn(backend string) int {
 	n := 0
 	for _, g := range c.running {
 		if g.Backend == backend {
@@ -108,7 +108,7 @@
 	return n
 }
 
-func (c *checker) refused(d Refuse) {
+func (c *checker) handleRefuse(d Refuse) {
 	r, ok := c.waiting[d.Key]
 	if !ok {
 		c.t.Fatalf("refused %v, which does not wait", d.Key)
@@ -125,10 +125,10 @@
 	}
 }
 
-// TestGroupKeepsTierOrder lets requests of all tiers come, end, leave and be suspended at random.
+// TestGroupKeepsTierOrder submits, ends, withdraws and suspends requests of all tiers at random.
 //
-// A user of the top tier would see "overloaded" while a listing tag still runs. The order is a
-// full queue, then one more urgent request; the cause would be a shed that looks at the queue only.
+// It guards against refusing a request of the top tier as overloaded while a lower one runs. This happens
+// if a full queue gets one more urgent request and the choice of what to shed looks at the queue only.
 func TestGroupKeepsTierOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		kind := rapid.SampledFrom([]record.ServiceKind{record.ServiceModel, record.ServicePlain}).Draw(rt, "kind")
@@ -145,7 +145,7 @@
 				r.NonIdempotent = rapid.Bool().Draw(rt, "non-idempotent")
 				r.Deadline = now + time.Duration(rapid.IntRange(100, 20000).Draw(rt, "deadline"))*time.Millisecond
 				c.waiting[r.Key] = r
-				c.take(g.Acquire(now, r))
+				c.apply(g.Acquire(now, r))
 			},
 			"end": func(rt *rapid.T) {
 				if len(c.running) == 0 {
@@ -153,23 +153,23 @@
 				}
 				d := c.running[pickKey(rt, c.running)]
 				delete(c.running, d.Key)
-				c.take(g.Release(now, Result{Key: d.Key, Attempt: d.Attempt, Backend: d.Backend, Outcome: Done}))
+				c.apply(g.Release(now, Result{Key: d.Key, Attempt: d.Attempt, Backend: d.Backend, Outcome: Done}))
 			},
 			"suspend": func(rt *rapid.T) {
-				for k := range c.asked {
+				for k := range c.preempted {
 					d, runs := c.running[k]
-					delete(c.asked, k)
+					delete(c.preempted, k)
 					if !runs {
 						continue
 					}
 					priority := g.runs[k].Priority
 					delete(c.running, k)
-					c.take(g.Release(now, Result{Key: k, Attempt: d.Attempt, Backend: d.Backend, Outcome: Suspended}))
+					c.apply(g.Release(now, Result{Key: k, Attempt: d.Attempt, Backend: d.Backend, Outcome: Suspended}))
 					r := testRequest("", priority, "a")
 					r.Key = k
 					r.Attempt, r.Resume, r.Deadline = d.Attempt+1, true, now+10*time.Second
 					c.waiting[k] = r
-					c.take(g.Acquire(now, r))
+					c.apply(g.Acquire(now, r))
 				}
 			},
 			"withdraw": func(rt *rapid.T) {
@@ -179,7 +179,7 @@
 				k := pickKey(rt, c.waiting)
 				attempt := c.waiting[k].Attempt
 				delete(c.waiting, k)
-				c.take(g.Withdraw(now, k, attempt))
+				c.apply(g.Withdraw(now, k, attempt))
 			},
 			"wait": func(rt *rapid.T) {
 				now += time.Duration(rapid.IntRange(1, 50).Draw(rt, "ticks")) * 10 * time.Millisecond
@@ -187,15 +187,15 @@
 				for k, d := range c.running {
 					held = append(held, Held{Key: k, Attempt: d.Attempt, Backend: d.Backend, Priority: g.runs[k].Priority})
 				}
-				c.take(g.UpdateHoldings(now, "h", held))
-				c.take(g.Tick(now))
+				c.apply(g.UpdateHoldings(now, "h", held))
+				c.apply(g.Tick(now))
 			},
 			"": func(rt *rapid.T) {
 				if v := inv.Take(); len(v) > 0 {
 					rt.Fatalf("%v", v)
 				}
 				if g.queue.len() != len(c.waiting) || len(g.runs) != len(c.running) {
-					rt.Fatalf("the group has %d waiting and %d running, it told of %d and %d", g.queue.len(), len(g.runs),
+					rt.Fatalf("the group has %d waiting and %d running, its decisions amount to %d and %d", g.queue.len(), len(g.runs),
 						len(c.waiting), len(c.running))
 				}
 			},
@@ -218,8 +218,8 @@
 	return rapid.SampledFrom(keys).Draw(rt, "key")
 }
 
-// A large workspace floods a tier. The small one's users would wait behind the whole flood if the
-// tier were one line; each workspace has its own, served by weight.
+// Guards against a workspace that floods a tier: in a single queue, requests of a small workspace would
+// wait behind the whole flood. Each workspace has its own queue, served by weight.
 func TestFloodOfOneWorkspaceLeavesOthersTheirShare(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 2, 2, &inv)
@@ -240,9 +240,9 @@
 	require.Empty(t, inv.Take())
 }
 
-// The host that scheduled a group dies while its engines are full. If its successor granted at
-// once, the engines would get twice their window and every answer would slow down; it first hears
-// what runs.
+// Guards against a new scheduler that grants at once after its predecessor died with its engines full: the
+// engines would get twice their window and every answer would slow down. It first waits for the holdings
+// of the entry hosts.
 func TestNewSchedulerHearsHoldingsBeforeItGrants(t *testing.T) {
 	var inv invariant.Log
 	g := NewGroup(0, DefaultOptions(), record.Service{Name: "s", Kind: record.ServiceModel, Policy: "cost"}, []string{"h1", "h2"}, &inv)
@@ -253,11 +253,11 @@
 	require.Empty(t, grants(g.UpdateHoldings(0, "h2", nil)), "both slots are in use")
 	got := grants(g.Release(0, Result{Key: Key{"h1", 1}, Attempt: 1, Backend: "b", Outcome: Done}))
 	require.Len(t, got, 1)
-	require.Equal(t, number("new"), got[0].Key.Request)
+	require.Equal(t, requestNumber("new"), got[0].Key.Request)
 }
 
-// One of the entry hosts is dead when a scheduler takes over. Callers of all others would wait for
-// ever if the scheduler waited for its word.
+// Guards against a new scheduler that waits without end for the holdings of a dead entry host; no request
+// would be granted a slot.
 func TestNewSchedulerDoesNotWaitForTheDead(t *testing.T) {
 	var inv invariant.Log
 	g := NewGroup(0, DefaultOptions(), record.Service{Name: "s", Kind: record.ServiceModel, Policy: "cost"}, []string{"dead"}, &inv)
@@ -266,21 +266,21 @@
 	require.Len(t, grants(g.Tick(DefaultOptions().SettleTimeout)), 1)
 }
 
-// A Release is lost with a cut link. The slot would be lost for good, and in time the engine would
-// stand idle; the entry host's Holdings do not name the run, which frees it.
+// Guards against a slot that stays in use after its Release was lost with a broken link; over time the
+// engine would be idle. The holdings of the entry host do not list the run, which frees the slot.
 func TestLostReleaseFreesTheSlot(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 1, 1, &inv)
 	require.Len(t, grants(g.Acquire(0, testRequest("a", 1, "w"))), 1)
 	require.Empty(t, grants(g.Acquire(0, testRequest("b", 1, "w"))))
-	require.Empty(t, grants(g.UpdateHoldings(time.Second, "h", nil)), "the grant may still be on its way")
+	require.Empty(t, grants(g.UpdateHoldings(time.Second, "h", nil)), "the grant may still be in flight")
 	got := grants(g.UpdateHoldings(3*time.Second, "h", nil))
 	require.Len(t, got, 1)
-	require.Equal(t, number("b"), got[0].Key.Request)
+	require.Equal(t, requestNumber("b"), got[0].Key.Request)
 }
 
-// A grant is lost with a cut link. The entry host asks again with the same attempt; a second slot,
-// or silence, would leave the caller waiting to its deadline.
+// Guards against a lost grant. The entry host repeats its request with the same attempt; a second slot, or
+// no answer, would leave the caller waiting until its deadline.
 func TestLostGrantIsRepeated(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 2, 1, &inv)
@@ -290,8 +290,8 @@
 	require.Len(t, g.runs, 1)
 }
 
-// An engine slows down to a quarter without warning. Callers on it would miss their time one after
-// the other; its window shrinks by its own history, and opens again when it recovers.
+// Guards against an engine that slows down to a quarter of its speed without notice, so that its callers
+// miss their deadlines. Its window shrinks by its own history, and grows again when it recovers.
 func TestSlowEngineGetsASmallerWindowAndRecovers(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 1, 8, &inv)
@@ -313,8 +313,7 @@
 	require.Equal(t, 8, g.backends["b000"].limit())
 }
 
-// A refused request comes back when it is told to. It has to be told a time at which it can hope
-// for a slot: more when more waits.
+// Guards against a retry delay that gives a refused request no chance: it must grow with the queue.
 func TestRefusalNamesATimeThatGrowsWithTheQueue(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 1, 1, &inv)
@@ -333,8 +332,8 @@
 	require.Greater(t, last.RetryAfter, 10*time.Second)
 }
 
-// Two zones are both full. Each would send its work to the other, and both would pay for the way
-// for nothing; a zone takes foreign work only if it starts at once.
+// Guards against two full zones that send each other their requests for nothing: a zone accepts a spilled
+// request only if it starts at once.
 func TestSpilledWorkIsRefusedWhereItWouldWait(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 1, 1, &inv)
@@ -374,8 +373,9 @@
 	}
 }
 
-// A group is new: no server has shown its pace. Callers with long answers were refused as if the
-// first guess of 10 ms a token were known, though the queue was short and the time ample.
+// Guards against refusals based on initial values. In a new group no server has samples; requests with
+// long answers were refused as if the initial value of 10 ms per token had been measured, though the queue
+// was short and the deadline far.
 func TestNothingIsRefusedOnAGuess(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 1, 1, &inv)
@@ -389,14 +389,15 @@
 	}
 }
 
-// A large workspace has filled the queue with minutes of work. A small one's single request would be
-// next by fair shares, but was refused at once as if it had to wait for all of that.
+// Guards against refusing a small workspace's request for a flood ahead of it. A large workspace has
+// queued minutes of work; the request would be next by fair queuing, but was refused as if it had to wait
+// for all of it.
 func TestSmallWorkspaceIsNotRefusedForTheFloodAheadOfIt(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 1, 2, &inv)
 	g.opt.MinQueue = 1000
 	g.Acquire(0, testRequest("first", 1, "large"))
-	g.Release(0, Result{Key: Key{"h", number("first")}, Attempt: 1, Backend: "b000", Outcome: Done,
+	g.Release(0, Result{Key: Key{"h", requestNumber("first")}, Attempt: 1, Backend: "b000", Outcome: Done,
 		FirstToken: 10 * time.Millisecond, Interval: 5 * time.Millisecond, Tokens: 20, Prompt: 100})
 	for i := 0; i < 500; i++ {
 		g.Acquire(0, testRequest(fmt.Sprint("flood", i), 1, "large"))
@@ -412,9 +413,9 @@
 	require.Equal(t, fault.DeadlineUnmeetable, g.Acquire(0, r)[0].(Refuse).Kind)
 }
 
-// A full queue, engines full of tags, and push checks that keep coming in one instant. None of them
-// may be shed while a tag runs: the tags are asked to give way at once, and the queue goes over its
-// bound meanwhile, but not without end.
+// Guards against shedding urgent requests while lower ones run. The queue is full, tags fill the engines,
+// and push checks keep arriving at the same instant. The tags are preempted at once and the queue exceeds
+// its bound meanwhile, up to a hard bound.
 func TestOverflowDisplacesBeforeItSheds(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 1, 2, &inv)
@@ -433,24 +434,24 @@
 		}
 		switch {
 		case i == 2:
-			require.Equal(t, 2, preempted, "both tags, at the first request over the bound")
+			require.Equal(t, 2, preempted, "both tags are preempted at the first request over the bound")
 		case i < hardQueueFactor*2:
 			require.Zero(t, refused, "request %d", i)
 		}
 	}
-	require.Equal(t, hardQueueFactor, refused, "memory goes first at last")
+	require.Equal(t, hardQueueFactor, refused, "requests over the hard bound are refused to limit memory")
 	require.Empty(t, inv.Take())
 }
 
-// A grant and a release were lost together, so the counts agree and the sets do not. If they counted
-// as equal, one slot would be held for ever for a request that is long over.
+// Guards against holdings that have equal counts but differ, as after the loss of a grant and a release.
+// If they counted as equal, a slot would be held forever for a request that has ended.
 func TestDigestsOfUnlikeHoldingsDiffer(t *testing.T) {
 	var inv invariant.Log
 	g := newTestGroup(record.ServiceModel, 1, 2, &inv)
 	r := testRequest("runs", 1, "w")
 	g.Acquire(0, r)
 	require.True(t, g.Confirm(0, "h", 1, RunHash(r.Key.Request, 1)))
-	require.False(t, g.Confirm(0, "h", 1, RunHash(number("another"), 1)))
+	require.False(t, g.Confirm(0, "h", 1, RunHash(requestNumber("another"), 1)))
 	require.False(t, g.Confirm(0, "h", 1, RunHash(r.Key.Request, 2)))
 	require.False(t, g.Confirm(0, "h", 0, 0))
 	require.True(t, g.Confirm(0, "stranger", 0, 0))
--- a/internal/sched/displace.go
+++ b/internal/sched/preempt.go
@@ -5,10 +5,10 @@
 // victimRetryInterval is when a preempted run that still runs may be preempted again.
 const victimRetryInterval = time.Second
 
-// displace preempts runs of a lower priority, one for each waiting request of w's priority, once w has
-// waited for DisplaceAfter.
-func (g *Group) displace(now time.Duration, w *queuedRequest) {
-	if ignoresTiers(g.service.Policy) || now-w.arrived < g.opt.DisplaceAfter {
+// preemptFor preempts runs of a lower priority, one for each waiting request of w's priority, once w has
+// waited for PreemptAfter.
+func (g *Group) preemptFor(now time.Duration, w *queuedRequest) {
+	if ignoresTiers(g.service.Policy) || now-w.arrived < g.opt.PreemptAfter {
 		return
 	}
 	wanted := g.queue.countAt(w.Priority)
@@ -27,7 +27,7 @@
 	n := 0
 	for _, b := range g.backends {
 		for _, r := range b.runs {
-			if r.displacing && r.Priority < priority && now-r.preemptedAt < g.opt.PreemptTimeout {
+			if r.preempting && r.Priority < priority && now-r.preemptedAt < g.opt.PreemptTimeout {
 				n++
 			}
 		}
@@ -35,15 +35,15 @@
 	return n
 }
 
-// displaceAllBelow preempts every run of a lower priority on a server that could serve the request.
-func (g *Group) displaceAllBelow(now time.Duration, w *queuedRequest) {
+// preemptAllBelow preempts every run of a lower priority on a server that could serve the request.
+func (g *Group) preemptAllBelow(now time.Duration, w *queuedRequest) {
 	for r := g.selectVictim(now, w); r != nil; r = g.selectVictim(now, w) {
 		g.preempt(now, r)
 	}
 }
 
 func (g *Group) preempt(now time.Duration, r *run) {
-	r.displacing, r.preemptedAt = true, now
+	r.preempting, r.preemptedAt = true, now
 	g.decisions = append(g.decisions, Preempt{r.Key, r.Attempt})
 }
 
@@ -56,7 +56,7 @@
 			continue
 		}
 		for _, r := range b.runs {
-			asked := r.displacing && now-r.preemptedAt < victimRetryInterval
+			asked := r.preempting && now-r.preemptedAt < victimRetryInterval
 			if asked || r.Priority >= w.Priority || r.orphanedAt > 0 {
 				continue
 			}
--- a/internal/sched/queue.go
+++ b/internal/sched/queue.go
@@ -76,7 +76,7 @@
 	byBacklog
 )
 
-func newWorkspaceHeap(which int, measure func(*workspaceQueue) float64) workspaceHeap {
+func newWorkspaceHeap(heapID int, measure func(*workspaceQueue) float64) workspaceHeap {
 	less := func(a, b *workspaceQueue) bool {
 		x, y := measure(a), measure(b)
 		if x != y {
@@ -84,7 +84,7 @@
 		}
 		return a.name < b.name
 	}
-	return indexheap.New(less, func(q *workspaceQueue, i int) { q.heapIndex[which] = i })
+	return indexheap.New(less, func(q *workspaceQueue, i int) { q.heapIndex[heapID] = i })
 }
 
 // tierQueue serves the workspaces of one tier by weighted fair queuing.
@@ -223,7 +223,7 @@
 // new requests that other servers could take.
 type queue struct {
 	newRequests [NumPriorities]*tierQueue
-	resumed     [NumPriorities]*tierQueue
+	suspended   [NumPriorities]*tierQueue
 	byKey       map[Key]*queuedRequest
 	expiry      expiryHeap
 	arrival     *list.List // all requests, for policies that serve in order of arrival
@@ -233,7 +233,7 @@
 	q := &queue{byKey: map[Key]*queuedRequest{}, arrival: list.New(), expiry: newExpiryHeap()}
 	for i := range q.newRequests {
 		q.newRequests[i] = newTierQueue()
-		q.resumed[i] = newTierQueue()
+		q.suspended[i] = newTierQueue()
 	}
 	return q
 }
@@ -242,7 +242,7 @@
 
 func (q *queue) tierQueueOf(w *queuedRequest) *tierQueue {
 	if w.Resume {
-		return q.resumed[w.Priority]
+		return q.suspended[w.Priority]
 	}
 	return q.newRequests[w.Priority]
 }
@@ -272,7 +272,7 @@
 
 // countAt returns the number of requests that wait at a priority.
 func (q *queue) countAt(priority uint32) int {
-	return q.newRequests[priority].count + q.resumed[priority].count
+	return q.newRequests[priority].count + q.suspended[priority].count
 }
 
 // shedCandidate returns the request to shed first: of the lowest tier, new requests before suspended ones.
@@ -281,7 +281,7 @@
 		if w := q.newRequests[p].shedCandidate(); w != nil {
 			return w
 		}
-		if w := q.resumed[p].shedCandidate(); w != nil {
+		if w := q.suspended[p].shedCandidate(); w != nil {
 			return w
 		}
 	}
@@ -300,9 +300,9 @@
 // costAhead estimates the cost that is served before a request: all of higher priorities, and of its own
 // priority the suspended requests and those that fair queuing puts before it.
 func (q *queue) costAhead(w *queuedRequest) float64 {
-	sum := q.resumed[w.Priority].costUpTo(math.MaxInt64) + q.newRequests[w.Priority].costBefore(w)
+	sum := q.suspended[w.Priority].costUpTo(math.MaxInt64) + q.newRequests[w.Priority].costBefore(w)
 	for p := int(w.Priority) + 1; p < NumPriorities; p++ {
-		sum += q.newRequests[p].costUpTo(math.MaxInt64) + q.resumed[p].costUpTo(math.MaxInt64)
+		sum += q.newRequests[p].costUpTo(math.MaxInt64) + q.suspended[p].costUpTo(math.MaxInt64)
 	}
 	return sum
 }
--- a/internal/sched/place.go
+++ b/internal/sched/schedule.go
@@ -34,13 +34,13 @@
 		return w != nil && g.tryGrant(now, w) == granted
 	}
 	for p := NumPriorities - 1; p >= 0; p-- {
-		for _, line := range []*tierQueue{g.queue.resumed[p], g.queue.newRequests[p]} {
-			switch g.grantFromTier(now, line) {
+		for _, tier := range []*tierQueue{g.queue.suspended[p], g.queue.newRequests[p]} {
+			switch g.grantFromTier(now, tier) {
 			case granted:
 				return true
 			case noFreeSlot:
-				g.displace(now, line.head())
-				if line == g.queue.newRequests[p] {
+				g.preemptFor(now, tier.head())
+				if tier == g.queue.newRequests[p] {
 					return false // slots that new requests of this priority could use must not go to lower ones
 				}
 			}
@@ -100,7 +100,7 @@
 		score = scoreCost
 	}
 	var best *backend
-	least := 0.0
+	minScore := 0.0
 	v := noFreeSlot
 	for _, name := range g.sortedNames {
 		b := g.backends[name]
@@ -111,8 +111,8 @@
 			v = tooSlow
 			continue
 		}
-		if s := score(g, &w.Request, b); best == nil || s < least {
-			best, least = b, s
+		if s := score(g, &w.Request, b); best == nil || s < minScore {
+			best, minScore = b, s
 		}
 	}
 	if best != nil {
@@ -241,7 +241,7 @@
 //
 // A request is shed only if no run of a lower priority is left that could be preempted for it. Until then
 // the queue may exceed its bound, up to a hard bound, and those runs are preempted at once instead of
-// after DisplaceAfter.
+// after PreemptAfter.
 func (g *Group) enforceQueueBound(now time.Duration) {
 	bound := max(g.opt.MinQueue, g.opt.QueuePerSlot*g.totalSlots())
 	for g.queue.len() > bound {
@@ -250,7 +250,7 @@
 			g.shed(now, w)
 			continue
 		}
-		g.displaceAllBelow(now, w)
+		g.preemptAllBelow(now, w)
 		if g.countRunningBelow(w.Priority) > 0 && g.queue.len() <= hardQueueFactor*bound {
 			return
 		}
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -117,9 +117,9 @@
 type Options struct {
 	// Lease is how long after a grant the dispatch may start.
 	Lease time.Duration
-	// DisplaceAfter is how long a request waits for a slot before runs of a lower priority are preempted
+	// PreemptAfter is how long a request waits for a slot before runs of a lower priority are preempted
 	// for it.
-	DisplaceAfter time.Duration
+	PreemptAfter time.Duration
 	// PreemptTimeout is when an unanswered preemption no longer counts as a slot about to become free.
 	PreemptTimeout time.Duration
 	// QueuePerSlot is the queue bound per slot of the group.
@@ -138,7 +138,7 @@
 func DefaultOptions() Options {
 	return Options{
 		Lease:              2 * time.Second,
-		DisplaceAfter:      30 * time.Millisecond,
+		PreemptAfter:       30 * time.Millisecond,
 		PreemptTimeout:     250 * time.Millisecond,
 		QueuePerSlot:       8,
 		MinQueue:           64,
