--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -152,7 +152,7 @@
 	{"router-drain-back", "5", "internal/router/requests.go", "Cause: ShutDown, RetryAfter: DrainBack", "Cause: ShutDown, RetryAfter: r.comeBack(q)", routerTests},
 	{"router-queue-share", "8", "internal/router/place.go", "extra > 0 && s.q.Route.Target > 0 {", "false {", routerTests},
 	{"router-name-start", "4", "internal/router/registrations.go", "		r.nameStart(b, ch.Start)\n", "		b.Start = ch.Start\n", routerTests},
-	{"router-most-read", "8", "internal/router/speed.go", "b.prefillPerToken == 0 && read <= mostRead", "b.read == 0", []string{"./internal/router", "-run", "Fuzz"}},
+	{"router-most-read", "8", "internal/router/speed.go", "b.prefillPerToken == 0 && read <= mostRead", "b.prefillPerToken == 0", []string{"./internal/router", "-run", "Fuzz"}},
 	{"router-push-all", "4", "internal/router/news.go", "if pushes++; pushes > maxPushes {", "if pushes++; pushes > 1 {", routerTests},
 	{"router-gap", "4", "internal/router/news.go", "Number: b.Revision}.After(r.updates.complete)\n", "Number: b.Revision}.After(r.updates.revision)\n", routerTests},
 	{"router-withheld", "limits", "internal/router/news.go", "r.updates.withheld = r.largeFleet() && r.now < startWait", "r.updates.withheld = false", routerTests},
