--- a/internal/router/ask.go
+++ b/internal/router/ask.go
@@ -132,9 +132,9 @@
 // its zone's sums.
 func (r *Router) sendCrossZoneHeartbeat(to []string) {
 	for _, owner := range to {
-		r.owners.knownUntil[owner] = r.now + r.beatPeriod()
+		r.owners.knownUntil[owner] = r.now + r.heartbeatInterval()
 	}
-	r.emitBeat(to, func(*gossippb.Beat) {})
+	r.emitHeartbeat(to, func(*gossippb.Beat) {})
 }
 
 // remoteOwnersWithLoad are the owners of other zones at whose backend servers this host has requests.
--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -31,9 +31,9 @@
 	ownLoad, othersLoad load
 	// othersReportedAt is when others last told of it.
 	othersReportedAt time.Duration
-	// ownerReport is what its owner says of other hosts' requests there, which counts instead of others
+	// ownerLoad is what its owner says of other hosts' requests there, which counts instead of others
 	// while fromOwner is set.
-	ownerReport     load
+	ownerLoad       load
 	ownerReportedAt time.Duration
 	useOwnerReport  bool
 	// owned tells that this host owns it, as of the last computation.
@@ -56,8 +56,8 @@
 	// evacuated tells that operators have evacuated its availability zone.
 	evacuated bool
 	warming   coldState
-	// ended tells that its process has ended without leaving; broken are requests that broke there before that was known.
-	ended      bool
+	// exited tells that its process has exited without leaving; broken are requests that broke there before that was known.
+	exited     bool
 	brokenRuns []brokenRun
 	// probedUntil is until when it is not asked again whether it can be reached.
 	probedUntil time.Duration
@@ -73,7 +73,7 @@
 	if b.Start == 0 {
 		return uint32(xxhash.Sum64String(b.ID))
 	}
-	return uint32(xxhash.Sum64String(b.ID + "/" + itoa(b.Start)))
+	return uint32(xxhash.Sum64String(b.ID + "/" + formatBase36(b.Start)))
 }
 
 // hashesOf names the registered backend servers that a test accepts, in order of their ids, as beats name them.
@@ -95,7 +95,7 @@
 // loadOfOthers is what other hosts are believed to carry there.
 func (b *backend) loadOfOthers() load {
 	if b.useOwnerReport {
-		return b.ownerReport
+		return b.ownerLoad
 	}
 	return b.othersLoad
 }
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	// beatFirst is the period of heartbeats in a zone of up to twenty hosts, where nothing changes.
-	beatFirst = 100 * time.Millisecond
-	// beatPerHost stretches the period with the zone's hosts, so that what a host sends and hears a
+	// minHeartbeatInterval is the period of heartbeats in a zone of up to twenty hosts, where nothing changes.
+	minHeartbeatInterval = 100 * time.Millisecond
+	// heartbeatIntervalPerHost stretches the period with the zone's hosts, so that what a host sends and hears a
 	// second stays the same, and beatMost bounds it.
-	beatPerHost = 5 * time.Millisecond
-	beatMost    = 300 * time.Millisecond
-	// sharedPerHost and sharedMost are the same where backend servers have owners, who hear of each request
+	heartbeatIntervalPerHost = 5 * time.Millisecond
+	maxHeartbeatInterval     = 300 * time.Millisecond
+	// ownersIntervalPerHost and sharedMost are the same where backend servers have owners, who hear of each request
 	// at once: beats then tell who lives, what there is to know and what quotas have spent. At half the pace a
 	// dead host's requests would seem to fill its zone's engines for twice as long.
-	sharedPerHost = 15 * time.Millisecond
-	sharedMost    = time.Second
-	// tightFor is how long after a request of a workspace whose quota is half empty beats go out twice as
+	ownersIntervalPerHost = 15 * time.Millisecond
+	maxOwnersInterval     = time.Second
+	// quotaLowDuration is how long after a request of a workspace whose quota is half empty beats go out twice as
 	// often: what others admit matters soon.
-	tightFor = 2 * time.Second
-	// joinPerHost is changePerHost there, where only hosts that join are told ahead of the next beat.
-	joinPerHost = 4 * time.Millisecond
-	// spentEvery is how many beats pass between two that tell all that was spent of quotas; the others tell
+	quotaLowDuration = 2 * time.Second
+	// joinGapPerHost is changePerHost there, where only hosts that join are told ahead of the next beat.
+	joinGapPerHost = 4 * time.Millisecond
+	// fullSpentHeartbeats is how many beats pass between two that tell all that was spent of quotas; the others tell
 	// what has changed.
-	spentEvery = 4
-	// namedPeers bounds the hosts that a beat of a large fleet names once nobody is new.
-	namedPeers = 6
-	// changeGap is how soon after the last beat a change of what this host carries is told, and
+	fullSpentHeartbeats = 4
+	// maxNamedPeers bounds the hosts that a beat of a large fleet names once nobody is new.
+	maxNamedPeers = 6
+	// minChangeGap is how soon after the last beat a change of what this host carries is told, and
 	// changePerHost stretches it with the zone's hosts. Under load all choose among the few engines that
 	// look free, and streams wait where several have chosen the same one by old counts.
-	changeGap     = 20 * time.Millisecond
-	changePerHost = time.Millisecond
-	// peersEvery is how often a beat names the hosts that its sender knows, and peersPerHost stretches it with the zone's hosts,
+	minChangeGap     = 20 * time.Millisecond
+	changeGapPerHost = time.Millisecond
+	// peerExchangeInterval is how often a beat names the hosts that its sender knows, and peersPerHost stretches it with the zone's hosts,
 	// as all of them hear it. Of a host that joins they hear at once.
-	peersEvery   = time.Second
-	peersPerHost = 80 * time.Millisecond
+	peerExchangeInterval        = time.Second
+	peerExchangeIntervalPerHost = 80 * time.Millisecond
 )
 
-func itoa(n uint64) string { return strconv.FormatUint(n, 36) }
+func formatBase36(n uint64) string { return strconv.FormatUint(n, 36) }
 
-// sendBeats tells the hosts that this one talks to directly what it carries.
-func (r *Router) sendBeats() {
-	mates, period, perHost := time.Duration(len(r.zonePeers())), r.beatPeriod(), changePerHost
+// sendHeartbeats tells the hosts that this one talks to directly what it carries.
+func (r *Router) sendHeartbeats() {
+	peers, period, perHost := time.Duration(len(r.zonePeers())), r.heartbeatInterval(), changeGapPerHost
 	if r.sharing() {
-		perHost = joinPerHost
+		perHost = joinGapPerHost
 	}
 	r.heartbeatAt, r.quotaLowHeartbeatAt = r.now+period, r.now+period/2
-	r.earlyHeartbeatAt = r.now + max(changeGap, perHost*mates)
+	r.earlyHeartbeatAt = r.now + max(minChangeGap, perHost*peers)
 	r.heartbeatPending = false
-	to := r.beatTargets()
+	to := r.heartbeatTargets()
 	if len(to) == 0 {
 		return
 	}
-	r.emitBeat(to, func(b *gossippb.Beat) {
+	r.emitHeartbeat(to, func(b *gossippb.Beat) {
 		b.Spent = r.ownSpent()
 		if all := r.allSuspects(); all != nil {
 			b.Suspects = all
@@ -68,7 +68,7 @@
 		}
 		if r.now >= r.zones.peersAt {
 			b.Peers = r.knownPeers()
-			r.zones.peersAt = r.now + max(peersEvery, peersPerHost*mates)
+			r.zones.peersAt = r.now + max(peerExchangeInterval, peerExchangeIntervalPerHost*peers)
 		}
 	})
 	if r.sharing() {
@@ -76,29 +76,29 @@
 	}
 }
 
-// beatPeriod is the time between two beats that nothing brings forward.
-func (r *Router) beatPeriod() time.Duration {
-	mates := time.Duration(len(r.zonePeers()))
+// heartbeatInterval is the time between two beats that nothing brings forward.
+func (r *Router) heartbeatInterval() time.Duration {
+	peers := time.Duration(len(r.zonePeers()))
 	if r.sharing() {
-		return min(sharedMost, max(beatFirst, sharedPerHost*mates))
+		return min(maxOwnersInterval, max(minHeartbeatInterval, ownersIntervalPerHost*peers))
 	}
-	return min(beatMost, max(beatFirst, beatPerHost*mates))
+	return min(maxHeartbeatInterval, max(minHeartbeatInterval, heartbeatIntervalPerHost*peers))
 }
 
-// loadChanged lets a small fleet hear at once that this host carries something else than its last beat
+// markLoadChanged lets a small fleet hear at once that this host carries something else than its last beat
 // said. In a large one the owners of backend servers hear of each request instead.
-func (r *Router) loadChanged() { r.heartbeatPending = r.heartbeatPending || !r.sharing() }
+func (r *Router) markLoadChanged() { r.heartbeatPending = r.heartbeatPending || !r.sharing() }
 
-// tellChange sends a beat ahead of its time where what this host carries has changed.
-func (r *Router) tellChange() {
+// sendEarlyHeartbeat sends a beat ahead of its time where what this host carries has changed.
+func (r *Router) sendEarlyHeartbeat() {
 	if r.heartbeatPending && r.now >= r.earlyHeartbeatAt {
-		r.sendBeats()
+		r.sendHeartbeats()
 	}
 }
 
-// emitBeat sends a beat whose parts fill adds. A beat always carries the loads: it replaces the one
+// emitHeartbeat sends a beat whose parts fill adds. A beat always carries the loads: it replaces the one
 // before.
-func (r *Router) emitBeat(to []string, fill func(*gossippb.Beat)) {
+func (r *Router) emitHeartbeat(to []string, fill func(*gossippb.Beat)) {
 	if len(to) == 0 {
 		return
 	}
@@ -107,7 +107,7 @@
 		Host: r.opt.Host, Zone: r.opt.Zone, Incarnation: r.opt.Incarnation, Seq: r.seq, Leaving: r.drain != nil,
 		ConfigVersion: r.version(), Revision: r.updates.revision.Number, Era: r.updates.revision.Era, Digest: r.digest(),
 		ReadsStore: r.inContact(), ListsStore: r.lists(), Loads: r.ownLoads(),
-		Dead: r.ownDead(), AgeMs: r.ageMs(), Suspects: r.newSuspects(),
+		Dead: r.ownUnreachable(), AgeMs: r.uptimeMs(), Suspects: r.newSuspects(),
 		Leaves: r.ownLeaving(), Evacuations: r.toldEvacuations(),
 	}
 	if !r.sharing() {
@@ -117,16 +117,16 @@
 	r.emit(SendHeartbeat{To: to, Heartbeat: b})
 }
 
-// beatTargets are the hosts that this one talks to directly and hears, and now and then those that
+// heartbeatTargets are the hosts that this one talks to directly and hears, and now and then those that
 // may be there.
-func (r *Router) beatTargets() []string {
+func (r *Router) heartbeatTargets() []string {
 	for _, h := range r.opt.Seeds {
 		r.learnHost(h, "")
 	}
 	var to []string
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
-		if r.exchangesHeartbeats(m.zone) && (!m.unreachable || r.due(h)) {
+		if r.exchangesHeartbeats(m.zone) && (!m.unreachable || r.contactDue(h)) {
 			to = append(to, h)
 		}
 	}
@@ -139,15 +139,15 @@
 	}
 	slices.Sort(strangers)
 	for _, h := range strangers {
-		if r.due(h) {
+		if r.contactDue(h) {
 			to = append(to, h)
 		}
 	}
 	return to
 }
 
-// due paces the beats to hosts that do not answer.
-func (r *Router) due(host string) bool {
+// contactDue paces the beats to hosts that do not answer.
+func (r *Router) contactDue(host string) bool {
 	if r.now < r.members.contactAt[host] {
 		return false
 	}
@@ -165,23 +165,23 @@
 	return out
 }
 
-// ownDead are the backend servers that this host lately could not connect to, or whose address another has.
-func (r *Router) ownDead() []uint32 {
+// ownUnreachable are the backend servers that this host lately could not connect to, or whose address another has.
+func (r *Router) ownUnreachable() []uint32 {
 	return r.hashesOf(func(b *backend) bool { return r.now < b.unreachable || b.replaced })
 }
 
-// ageMs is how long this host has run, as beats tell it.
-func (r *Router) ageMs() uint32 { return uint32(min(r.now.Milliseconds(), math.MaxUint32)) }
+// uptimeMs is how long this host has run, as beats tell it.
+func (r *Router) uptimeMs() uint32 { return uint32(min(r.now.Milliseconds(), math.MaxUint32)) }
 
 // ownSpent is what this host has admitted by workspace. In a large fleet most beats leave out what has not
 // changed since the last one.
 func (r *Router) ownSpent() []*gossippb.Spent {
 	var out []*gossippb.Spent
 	r.spentReports++
-	whole := !r.sharing() || r.spentReports%spentEvery == 0
+	full := !r.sharing() || r.spentReports%fullSpentHeartbeats == 0
 	for _, name := range r.quotaNames() {
 		q := r.quotas[name]
-		if s := uint64(q.Spent()); s > 0 && (whole || s != r.reportedSpent[name]) {
+		if s := uint64(q.Spent()); s > 0 && (full || s != r.reportedSpent[name]) {
 			out = append(out, &gossippb.Spent{Workspace: name, Amount: s})
 			r.reportedSpent[name] = s
 		}
--- a/internal/router/beats_test.go
+++ b/internal/router/beats_test.go
@@ -18,17 +18,17 @@
 	b := newBench(t, 4)
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	b.post(Tick{})
-	b.now += changeGap
+	b.now += minChangeGap
 	send := func() int {
 		b.next++
 		return beatsIn(b.post(Submit{ID: b.next, Route: urgent, Rank: 0, OutputTok: 10, Deadline: b.now + time.Second}))
 	}
 	require.Equal(t, 1, send())
-	b.now += changeGap / 2
+	b.now += minChangeGap / 2
 	require.Zero(t, send())
 	require.Zero(t, beatsIn(b.post(Tick{})))
-	b.now += changeGap / 2
+	b.now += minChangeGap / 2
 	require.Equal(t, 1, beatsIn(b.post(Tick{})), "the rest of the burst")
-	b.now += changeGap
+	b.now += minChangeGap
 	require.Zero(t, beatsIn(b.post(Tick{})), "nothing has changed since")
 }
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// endToldFor is how long beats tell that an availability zone was taken back; who has not heard it by then finds by the
+	// evacuationEndTTL is how long beats tell that an availability zone was taken back; who has not heard it by then finds by the
 	// digest that its news differ.
-	endToldFor = 10 * time.Second
+	evacuationEndTTL = 10 * time.Second
 	// evacuationPatience is how long an evacuation stays that a later era of the store does not list: operators write again
 	// what an older copy has lost.
 	evacuationPatience = 10 * time.Second
@@ -131,7 +131,7 @@
 	var out []*gossippb.Evacuation
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		e := r.evacuations[zone]
-		if !e.Ended || r.now-e.at < endToldFor {
+		if !e.Ended || r.now-e.at < evacuationEndTTL {
 			out = append(out, &gossippb.Evacuation{Zone: zone, Revision: e.Revision.Number, Era: e.Revision.Era, Ended: e.Ended})
 		}
 	}
--- a/internal/router/evacuations_test.go
+++ b/internal/router/evacuations_test.go
@@ -171,7 +171,7 @@
 	r := lone(t, "a")
 	for i := range 3 * maxEvacuations {
 		r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: uint64(i + 1),
-			Evacuations: []*gossippb.Evacuation{{Zone: itoa(uint64(i)), Revision: uint64(i)}}}})
+			Evacuations: []*gossippb.Evacuation{{Zone: formatBase36(uint64(i)), Revision: uint64(i)}}}})
 	}
 	require.LessOrEqual(t, len(r.evacuations), maxEvacuations)
 	r.Reduce(2*time.Second, takesBack("0", rev(900)))
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -161,7 +161,7 @@
 		known = false
 	}
 	if !known {
-		m = &member{host: b.Host, quotaKey: b.Host + "/" + itoa(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, previousIncarnation: replaced,
+		m = &member{host: b.Host, quotaKey: b.Host + "/" + formatBase36(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, previousIncarnation: replaced,
 			spent: map[string]uint64{}, startedAt: r.now - time.Duration(b.AgeMs)*time.Millisecond}
 		r.members.byHost[b.Host] = m
 		r.recordZone(b.Host, b.Zone)
@@ -175,7 +175,7 @@
 		} else if r.now-m.startedAt <= newHostDuration {
 			// It may have no seed in its own zone: without this, the hosts of zones without seeds knew a few of
 			// their zone mates each, and divided quotas and engines among these.
-			r.emitBeat([]string{b.Host}, func(reply *gossippb.Beat) { reply.Peers = r.introductions(b.Zone) })
+			r.emitHeartbeat([]string{b.Host}, func(reply *gossippb.Beat) { reply.Peers = r.introductions(b.Zone) })
 		}
 	}
 	returned := m.unreachable
@@ -278,7 +278,7 @@
 		if q, ok := r.quotas[s.Workspace]; ok {
 			q.ApplyPeerTotal(limit.PeerTotal{Peer: m.quotaKey, Spent: float64(s.Amount), InZone: m.zone == r.opt.Zone, Reconnected: returned, RecentlyStarted: r.now-m.startedAt <= newHostDuration})
 			if q.NearlyExhausted() {
-				r.zones.quotaLowUntil = r.now + tightFor
+				r.zones.quotaLowUntil = r.now + quotaLowDuration
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 
 // hostTimeout is how long a host must not be heard to count as silent.
 func (r *Router) hostTimeout() time.Duration {
-	return max(minHostTimeout, time.Duration(hostTimeoutIntervals*float64(r.beatPeriod())))
+	return max(minHostTimeout, time.Duration(hostTimeoutIntervals*float64(r.heartbeatInterval())))
 }
 
 // expireMembers stops counting what silent hosts said, and later forgets them.
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -108,7 +108,7 @@
 		r.takeEvacuation(e, cmp.Or(n.From, "store"))
 	}
 	for _, ch := range n.Backends {
-		r.takeBackend(ch)
+		r.applyBackendChange(ch)
 	}
 	if n.Full {
 		r.removeUnlisted(n)
@@ -157,7 +157,7 @@
 	}
 	for _, b := range r.allBackends() {
 		if !b.removed && b.revision.Era < era {
-			r.remove(b, routing.BackendChange{Revision: routing.Revision{Era: era}, Removed: true})
+			r.removeBackend(b, routing.BackendChange{Revision: routing.Revision{Era: era}, Removed: true})
 		}
 	}
 }
@@ -184,7 +184,7 @@
 			r.emit(Note{What: "changes not pushed", Detail: err.Error()})
 			return
 		}
-		r.emitBeat(r.zonePeers(), func(b *gossippb.Beat) { b.Changes = data })
+		r.emitHeartbeat(r.zonePeers(), func(b *gossippb.Beat) { b.Changes = data })
 	}
 }
 
@@ -199,7 +199,7 @@
 		return
 	}
 	for _, ch := range list {
-		r.takeBackend(ch)
+		r.applyBackendChange(ch)
 	}
 }
 
@@ -259,7 +259,7 @@
 	for _, b := range r.allBackends() {
 		lost := b.revision.Era < n.AsOf.Era // by the store; see dropLost
 		if !listed[b.ID] && !b.removed && !lost && !b.revision.After(n.AsOf) {
-			r.remove(b, routing.BackendChange{Revision: n.AsOf, Removed: true})
+			r.removeBackend(b, routing.BackendChange{Revision: n.AsOf, Removed: true})
 		}
 	}
 }
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -317,7 +317,7 @@
 		all.counts[p] = max(0, all.counts[p]-b.ownLoad.counts[p])
 	}
 	all.prefillBacklog = max(0, all.prefillBacklog-b.ownLoad.prefillBacklog)
-	b.useOwnerReport, b.ownerReport, b.ownerReportedAt = true, all, r.now
+	b.useOwnerReport, b.ownerLoad, b.ownerReportedAt = true, all, r.now
 }
 
 // occupancyPeriod is the time between two words of an owner that nothing brings forward.
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -54,12 +54,12 @@
 func (r *Router) namedPeers() []string {
 	all := r.members.order
 	switch {
-	case !r.largeFleet() || len(all) <= namedPeers:
+	case !r.largeFleet() || len(all) <= maxNamedPeers:
 		return all
 	case r.zones.peersAt == 0:
 		return r.zonePeers()
 	}
-	return r.drawn(all, namedPeers)
+	return r.drawn(all, maxNamedPeers)
 }
 
 // knownPeers names the hosts of this zone that are heard, and some of the others.
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -119,7 +119,7 @@
 func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Scope) (ok bool, back time.Duration) {
 	ok, back = quota.Admit(r.now, cost, part)
 	if quota.NearlyExhausted() {
-		r.quotaLowUntil = r.now + tightFor
+		r.quotaLowUntil = r.now + quotaLowDuration
 	}
 	return ok, back
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -140,7 +140,7 @@
 	q.queued = b.inFlight() > b.Slots || 2*b.unread(r.now) > q.PromptTok
 	q.unread = q.PromptTok
 	b.ownLoad.prefillBacklog += q.unread
-	r.loadChanged()
+	r.markLoadChanged()
 	r.reportAssigned(q)
 	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, MaxIdleConns: r.keep(b), At: r.now, Basis: g})
 }
@@ -333,7 +333,7 @@
 	own := &q.backend.ownLoad
 	own.counts[p]--
 	q.promptDone()
-	r.loadChanged()
+	r.markLoadChanged()
 	r.invariants.Check(own.counts[p] >= 0 && own.prefillBacklog >= 0, "backend server %s has %d in flight, %d tokens unread", q.backend.ID, own.counts[p], own.prefillBacklog)
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -172,9 +172,9 @@
 	case Drain:
 		r.drain = &e
 		r.membersChanged()
-		r.sendBeats()
+		r.sendHeartbeats()
 	}
-	r.tellChange()
+	r.sendEarlyHeartbeat()
 	out := r.effects
 	r.effects = nil
 	return out
@@ -222,7 +222,7 @@
 	r.tellOccupancy()
 	r.sendZoneSummaries()
 	if r.now >= r.heartbeatAt || (r.now < r.quotaLowUntil && r.now >= r.quotaLowHeartbeatAt) {
-		r.sendBeats()
+		r.sendHeartbeats()
 	}
 }
 
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -43,7 +43,7 @@
 	}
 	done := q.unread
 	q.promptDone()
-	r.loadChanged()
+	r.markLoadChanged()
 	var read time.Duration
 	if q.PromptTok >= leastPrompt && !q.queued && e.First > 0 {
 		read = e.First / time.Duration(q.PromptTok)
@@ -131,7 +131,7 @@
 func (b *backend) unread(now time.Duration) int {
 	others, at := b.othersLoad.prefillBacklog, b.othersReportedAt
 	if b.useOwnerReport {
-		others, at = b.ownerReport.prefillBacklog, b.ownerReportedAt
+		others, at = b.ownerLoad.prefillBacklog, b.ownerReportedAt
 	}
 	if others > 0 && b.prefillPerToken > 0 {
 		others = max(0, others-int((now-at)/b.prefillPerToken))
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -88,7 +88,7 @@
 	b.post(StreamProgress{ID: 1, Interval: 55 * time.Millisecond})
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	speeds := func() []*gossippb.Speed {
-		b.now += beatMost
+		b.now += maxHeartbeatInterval
 		var out []*gossippb.Speed
 		for _, e := range b.post(Tick{}) {
 			if s, ok := e.(SendHeartbeat); ok {
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -70,9 +70,9 @@
 func TestNewcomerHearsAtOnce(t *testing.T) {
 	b := newBench(t, 1)
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
-	b.now += changeGap + time.Millisecond
+	b.now += minChangeGap + time.Millisecond
 	b.post(Tick{})
-	b.now += changeGap
+	b.now += minChangeGap
 	require.Contains(t, beatsTo(b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1}})), "10.0.0.3")
 }
 
@@ -82,7 +82,7 @@
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1, Seeds: []string{"10.0.0.1"}})
 	r.Reduce(0, HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	r.Reduce(0, Tick{})
-	now := changeGap + 5*time.Millisecond
+	now := minChangeGap + 5*time.Millisecond
 	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
 	require.Contains(t, beatsTo(r.Reduce(now, n)), "10.0.0.2")
 }
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -67,7 +67,7 @@
 func (r *Router) hold(b *backend, q *request, e DispatchEnded) {
 	q.onTrial = false
 	run := brokenRun{q.Digest, workspaceName(q), r.now}
-	if b.ended {
+	if b.exited {
 		r.sawEnd(b, run)
 		return
 	}
@@ -110,7 +110,7 @@
 
 // backendEnded takes that a backend server has ended without leaving: what was in flight there is under suspicion.
 func (r *Router) backendEnded(b *backend) {
-	b.ended = true
+	b.exited = true
 	broken := b.brokenRuns
 	b.brokenRuns = nil
 	for _, run := range broken {
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -551,7 +551,7 @@
 		}
 	}
 	var beat *gossippb.Beat
-	for _, s := range effectsOf[SendHeartbeat](mate.r.Reduce(z.now+sharedMost, Tick{})) {
+	for _, s := range effectsOf[SendHeartbeat](mate.r.Reduce(z.now+maxOwnersInterval, Tick{})) {
 		beat = s.Heartbeat
 	}
 	run := func(name string, f func(i int)) {
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -65,7 +65,9 @@
 	relayAt   time.Duration
 }
 
-func (z *zoneSummary) key() string { return z.zone + "/" + z.reporter + "/" + itoa(z.incarnation) }
+func (z *zoneSummary) key() string {
+	return z.zone + "/" + z.reporter + "/" + formatBase36(z.incarnation)
+}
 
 func newZoneState() zoneState {
 	return zoneState{summaries: map[string]*zoneSummary{}, spentSent: map[string]uint64{}}
@@ -187,7 +189,7 @@
 		if sum == nil {
 			sum = r.ownZoneSummary()
 		}
-		r.emitBeat(r.listeners(zone), func(b *gossippb.Beat) {
+		r.emitHeartbeat(r.listeners(zone), func(b *gossippb.Beat) {
 			b.Zones = []*gossippb.ZoneSum{sum}
 			b.Peers = r.introductions(zone)
 		})
@@ -200,7 +202,7 @@
 func (r *Router) ownZoneSummary() *gossippb.ZoneSum {
 	known, heard := r.countDirectHosts()
 	s := &gossippb.ZoneSum{Zone: r.opt.Zone, Speaker: r.opt.Host, Incarnation: r.opt.Incarnation, Seq: r.seq + 1,
-		Hosts: uint32(heard), Known: uint32(known), AgeMs: r.ageMs(), Owners: r.ownersToSend(), Suspects: r.suspects.ledger.ForZones(r.now), Leaves: r.zoneLeaving(), Failing: r.zoneFailing()}
+		Hosts: uint32(heard), Known: uint32(known), AgeMs: r.uptimeMs(), Owners: r.ownersToSend(), Suspects: r.suspects.ledger.ForZones(r.now), Leaves: r.zoneLeaving(), Failing: r.zoneFailing()}
 	s.WithoutLoads = r.now < r.zones.loadsAt
 	if !s.WithoutLoads {
 		r.zones.loadsAt = r.now + r.loadsInterval()
@@ -408,7 +410,7 @@
 	return sum
 }
 
-// deadReportsFor counts the hosts that cannot reach a backend server.
-func (r *Router) deadReportsFor(hash uint32) int {
+// unreachableReportsFor counts the hosts that cannot reach a backend server.
+func (r *Router) unreachableReportsFor(hash uint32) int {
 	return r.countReporting(hash, func(m *member) []uint32 { return m.deadBackends })
 }
