--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -49,7 +49,7 @@
 	view         *member.View
 	tickets      *ticket.Home
 	inv          invariant.Log
-	out          []Effect
+	effects      []Effect
 	selfMessages []*peerpb.Message // messages from this host to itself
 	roles        roleState
 	gossip       gossipState
@@ -58,7 +58,7 @@
 	groups       map[GroupKey]*sched.Group
 	leaving      map[string]bool // addresses of backend servers that the host list shows as leaving
 	suspects     suspectState
-	drain        bool
+	draining     bool
 }
 
 // New returns a reducer without configuration or peers.
@@ -85,8 +85,8 @@
 	c.now = max(c.now, now)
 	c.apply(ev)
 	c.deliverLocal()
-	out := c.out
-	c.out = nil
+	out := c.effects
+	c.effects = nil
 	return out
 }
 
@@ -127,10 +127,10 @@
 }
 
 func (c *Core) beginDrain() {
-	if c.drain {
+	if c.draining {
 		return
 	}
-	c.drain = true
+	c.draining = true
 	c.view.SetDraining()
 	c.refreshRoles()
 	c.sendHeartbeats()
@@ -212,7 +212,7 @@
 	return IdleTickInterval
 }
 
-func (c *Core) emit(e Effect) { c.out = append(c.out, e) }
+func (c *Core) emit(e Effect) { c.effects = append(c.effects, e) }
 
 // send sends a message to a host, which may be this one. It reports whether the host is known.
 func (c *Core) send(to string, m *peerpb.Message) bool {
@@ -238,12 +238,12 @@
 
 // Ready reports whether the load balancer should send requests to this host: the configuration is known to
 // be current, or the configuration service is known to be down, and the host is not shutting down.
-func (c *Core) Ready() bool { return c.gossip.synced && !c.drain }
+func (c *Core) Ready() bool { return c.gossip.synced && !c.draining }
 
 // Requests returns the number of callers' requests that this host holds.
 func (c *Core) Requests() int { return len(c.entry.requests) }
 
-// usable looks up a backend server that may get new work from this host: it is in force and not leaving.
+// usable looks up a backend server that may get new requests from this host: it is in force and not leaving.
 func (c *Core) usable(name string) (record.Backend, bool) {
 	b := c.conf.Backend(name)
 	if b == nil || b.Leaving || c.leaving[b.Addr] {
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -131,7 +131,7 @@
 }
 
 func (c *Core) checkSubmit(e Submit) *fault.Error {
-	if c.drain {
+	if c.draining {
 		return c.drainingFault()
 	}
 	if !c.gossip.synced {
@@ -329,7 +329,7 @@
 	}
 	switch r.phase {
 	case dispatched, suspending:
-		return // the traffic side cancels the request and reports Ended
+		return // the traffic side cancels the request and reports DispatchEnded
 	default:
 		c.trace(r, "caller closed the connection")
 		c.abandon(r)
--- a/internal/core/roles.go
+++ b/internal/core/roles.go
@@ -23,7 +23,7 @@
 	// readerTimeoutHeartbeats is the number of heartbeat intervals after which a host reads the platform
 	// itself if no live host has reported that it does.
 	readerTimeoutHeartbeats = 5
-	forgetInterval          = time.Second
+	dropStaleInterval       = time.Second
 	// auditDuration is how long each host of a zone in turn watches the platform, in addition to the
 	// zone's readers.
 	auditDuration = 4 * time.Second
@@ -31,14 +31,14 @@
 
 // roleState is what this host derives from its membership view.
 type roleState struct {
-	live       []string
-	livenessAt time.Duration
-	forgotAt   time.Duration
-	shards     map[string]uint32         // number of shards of each service with backend servers in this zone
-	schedulers map[GroupKey]string       // scheduler of each group of this zone
-	summaries  map[GroupKey]groupSummary // latest summaries from the schedulers of this zone
-	groupOf    map[string]GroupKey       // group of each backend server of this zone
-	readMode   readMode
+	live           []string
+	livenessAt     time.Duration
+	droppedStaleAt time.Duration
+	shards         map[string]uint32         // number of shards of each service with backend servers in this zone
+	schedulers     map[GroupKey]string       // scheduler of each group of this zone
+	summaries      map[GroupKey]groupSummary // latest summaries from the schedulers of this zone
+	groupOf        map[string]GroupKey       // group of each backend server of this zone
+	readMode       readMode
 }
 
 // groupSummary is the latest summary of a group, with the time at which it was received.
@@ -59,8 +59,8 @@
 		}
 		c.refreshReadMode()
 	}
-	if c.now-c.roles.forgotAt >= forgetInterval {
-		c.roles.forgotAt = c.now
+	if c.now-c.roles.droppedStaleAt >= dropStaleInterval {
+		c.roles.droppedStaleAt = c.now
 		c.view.DropStale(c.now)
 	}
 }
@@ -117,18 +117,18 @@
 
 // reassign computes the scheduler of each group. It returns the groups whose scheduler changed, sorted.
 func (c *Core) reassign() []GroupKey {
-	owners := map[GroupKey]string{}
+	schedulers := map[GroupKey]string{}
 	var changed []GroupKey
 	for service, n := range c.roles.shards {
 		for shard := uint32(0); shard < n; shard++ {
 			k := GroupKey{service, shard}
-			owners[k] = member.Owner(fmt.Sprintf("sched/%s/%d", service, shard), c.roles.live)
-			if owners[k] != c.roles.schedulers[k] {
+			schedulers[k] = member.Owner(fmt.Sprintf("sched/%s/%d", service, shard), c.roles.live)
+			if schedulers[k] != c.roles.schedulers[k] {
 				changed = append(changed, k)
 			}
 		}
 	}
-	c.roles.schedulers = owners
+	c.roles.schedulers = schedulers
 	sortGroupKeys(changed)
 	return changed
 }
@@ -154,8 +154,8 @@
 		}
 	}
 	own := make([]GroupKey, 0, len(c.roles.schedulers))
-	for k, owner := range c.roles.schedulers {
-		if owner == c.opt.Self.ID {
+	for k, scheduler := range c.roles.schedulers {
+		if scheduler == c.opt.Self.ID {
 			own = append(own, k)
 		}
 	}
@@ -282,7 +282,7 @@
 	echo, incarnation := c.view.Echo(to)
 	c.send(to, &peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{
 		SentMs:          c.nowMS(),
-		Draining:        c.drain,
+		Draining:        c.draining,
 		ConfigRevision:  c.conf.Revision(),
 		ConfigDigest:    c.conf.Digest(),
 		Groups:          groups,
--- a/internal/core/slots.go
+++ b/internal/core/slots.go
@@ -28,8 +28,8 @@
 		c.requestRemoteSlot(r)
 		return
 	}
-	owner := c.roles.schedulers[k]
-	if owner == "" {
+	scheduler := c.roles.schedulers[k]
+	if scheduler == "" {
 		c.backOff(r)
 		return
 	}
@@ -37,7 +37,7 @@
 		c.spill(r, zone, s)
 		return
 	}
-	c.acquireFrom(r, target{k, owner, c.opt.Self.Zone})
+	c.acquireFrom(r, target{k, scheduler, c.opt.Self.Zone})
 }
 
 // requestRemoteSlot requests a slot in another zone for a service without backend servers in this zone.
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -91,7 +91,7 @@
 		Zone:        c.opt.Self.Zone,
 		Incarnation: c.opt.Incarnation,
 		Ready:       c.Ready(),
-		Draining:    c.drain,
+		Draining:    c.draining,
 		UptimeMS:    c.now.Milliseconds(),
 		Revision:    c.conf.Revision(),
 		Digest:      c.conf.Digest(),
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -111,8 +111,8 @@
 			r.target.scheduler = c.roles.schedulers[k]
 		}
 	}
-	if owner := c.roles.schedulers[k]; owner != "" {
-		c.sendHoldings(target{k, owner, c.opt.Self.Zone})
+	if scheduler := c.roles.schedulers[k]; scheduler != "" {
+		c.sendHoldings(target{k, scheduler, c.opt.Self.Zone})
 	}
 }
 
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -49,9 +49,9 @@
 func TestOnlyTheDutiesOfTheDeadMove(t *testing.T) {
 	hosts := []string{"a", "b", "c", "d", "e"}
 	for i := 0; i < 200; i++ {
-		duty := fmt.Sprint("sched/s/", i)
-		before := Owner(duty, hosts)
-		after := Owner(duty, hosts[:4])
+		role := fmt.Sprint("sched/s/", i)
+		before := Owner(role, hosts)
+		after := Owner(role, hosts[:4])
 		if before != "e" {
 			require.Equal(t, before, after)
 		}
