--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves operators over HTTP: health, readiness, status, the way of a request, and
-// metrics. It only reads.
+// Package admin serves the read-only HTTP interface for operators: health, readiness, status, request traces,
+// metrics and profiles.
 package admin
 
 import (
@@ -10,7 +10,7 @@
 	"fireflyshift/internal/core"
 )
 
-// Source is the host that is shown.
+// Source provides the state of a host.
 type Source interface {
 	Healthy() bool
 	Ready() bool
@@ -19,25 +19,25 @@
 }
 
 // Handler serves
-//   - /healthz: 200 while the control thread answers; otherwise restart the process,
-//   - /readyz: 200 while the balancer should send callers here,
+//   - /healthz: 200 while the control thread responds; otherwise the process should be restarted,
+//   - /readyz: 200 while the load balancer should send callers to this host,
 //   - /status, /explain/ID and /metrics as JSON,
 //   - /debug/pprof/profile, heap and goroutine for 'go tool pprof'.
 func Handler(s Source, metrics http.Handler) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { yesNo(w, s.Healthy()) })
-	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { yesNo(w, s.Ready()) })
+	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { writeProbe(w, s.Healthy()) })
+	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) { writeProbe(w, s.Ready()) })
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
 		v, ok := s.Status()
-		reply(w, ok, v)
+		writeJSON(w, ok, v)
 	})
 	mux.HandleFunc("GET /explain/{id}", func(w http.ResponseWriter, r *http.Request) {
 		v, ok := s.Explain(r.PathValue("id"))
 		if ok && len(v) == 0 {
-			http.Error(w, "this host knows no such request; ask the host that answered it", http.StatusNotFound)
+			http.Error(w, "unknown request; ask the host that answered it", http.StatusNotFound)
 			return
 		}
-		reply(w, ok, v)
+		writeJSON(w, ok, v)
 	})
 	mux.Handle("GET /metrics", metrics)
 	mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
@@ -46,7 +46,7 @@
 	return mux
 }
 
-func yesNo(w http.ResponseWriter, ok bool) {
+func writeProbe(w http.ResponseWriter, ok bool) {
 	if !ok {
 		http.Error(w, "no", http.StatusServiceUnavailable)
 		return
@@ -54,9 +54,9 @@
 	_, _ = w.Write([]byte("yes\n"))
 }
 
-func reply(w http.ResponseWriter, ok bool, v any) {
+func writeJSON(w http.ResponseWriter, ok bool, v any) {
 	if !ok {
-		http.Error(w, "the control thread does not answer", http.StatusServiceUnavailable)
+		http.Error(w, "the control thread does not respond", http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/confservice/client.go
+++ b/internal/confservice/client.go
@@ -1,5 +1,5 @@
-// Package confservice reads the operators' configuration service and the host list. Both can only be
-// read and watched. This file holds the wire format; another platform costs another file.
+// Package confservice reads and watches the operators' configuration service and the host list. This file
+// contains the wire format of the platform; support for another platform would be another file.
 package confservice
 
 import (
@@ -18,22 +18,22 @@
 )
 
 const (
-	readTimeout = 3 * time.Second
-	maxReply    = 64 << 20
-	retryFirst  = 200 * time.Millisecond
-	retryMost   = 5 * time.Second
-	// minWatchGap spaces the calls of a busy watch: each call counts at the service.
-	minWatchGap = 50 * time.Millisecond
+	readTimeout      = 3 * time.Second
+	maxResponseBytes = 64 << 20
+	minRetryDelay    = 200 * time.Millisecond
+	maxRetryDelay    = 5 * time.Second
+	// minWatchInterval is the minimum pause between the calls of a busy watch, as the service counts each call.
+	minWatchInterval = 50 * time.Millisecond
 )
 
-// recordsReply is the answer to GET /v1/records?after=R&wait=MS: every record whose revision is
-// above R, deletions included, or an empty list after the wait.
+// recordsReply is the response to GET /v1/records?after=R&wait=MS: all records with a revision above R,
+// including deletions, or an empty list after the wait time.
 type recordsReply struct {
 	Revision uint64       `json:"revision"`
 	Records  []record.Raw `json:"records"`
 }
 
-// hostsReply is the answer to GET /v1/hosts?after=V&wait=MS.
+// hostsReply is the response to GET /v1/hosts?after=V&wait=MS.
 type hostsReply struct {
 	Version uint64       `json:"version"`
 	Hosts   []hostRecord `json:"hosts"`
@@ -47,23 +47,24 @@
 	State string `json:"state"` // live or leaving
 }
 
-// Client reads the platform.
+// Client reads the platform's configuration service and host list.
 type Client struct {
 	base string
 	wait time.Duration
 	http *http.Client
 }
 
-// NewClient returns a client of the platform at a base URL; wait is how long a watch stays open.
+// NewClient returns a client for the platform at a base URL. wait is how long a watch stays open.
 func NewClient(base string, wait time.Duration) *Client {
 	return &Client{base: base, wait: wait, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}}}
 }
 
-// WatchRecords reads the records after a revision, then watches for newer ones, until ctx ends.
-// Each read that succeeds or fails is posted.
+// WatchRecords reads the records after a revision, then watches for newer ones, until ctx is done.
+// It posts an event for each successful or failed read.
 //
-// A stale service may answer with a lower revision. It is followed, so that its records are read
-// again when it catches up; what is in force does not go back, see package confstate.
+// A stale service may answer with a lower revision. The watch then continues from there, so that the
+// records are read again when the service catches up. Accepted records do not go back; see package
+// confstate.
 func (c *Client) WatchRecords(ctx context.Context, after uint64, post func(core.Event)) {
 	watch(ctx, c, "/v1/records", after, func(reply recordsReply, _ bool) uint64 {
 		post(core.PlatformRecords{Records: reply.Records, Current: true})
@@ -71,7 +72,7 @@
 	}, func() { post(core.PlatformFailed{}) })
 }
 
-// WatchHosts follows the host list until ctx ends.
+// WatchHosts watches the host list and posts its changes until ctx is done.
 func (c *Client) WatchHosts(ctx context.Context, post func(core.Event)) {
 	latest := uint64(0)
 	watch(ctx, c, "/v1/hosts", 0, func(reply hostsReply, first bool) uint64 {
@@ -83,28 +84,28 @@
 	}, func() {})
 }
 
-// watch reads what a path has after a version, then waits for what comes after the one that got returns, until
-// ctx ends: with growing pauses after failures, and from the start again.
-func watch[R any](ctx context.Context, c *Client, path string, after uint64, got func(reply R, first bool) uint64, failed func()) {
-	first, pause := true, retryFirst
+// watch reads what a path has after a version, then waits for changes after the version that handle returns, until
+// ctx is done. After a failure it pauses with exponential back-off and then reads without waiting.
+func watch[R any](ctx context.Context, c *Client, path string, after uint64, handle func(reply R, first bool) uint64, failed func()) {
+	first, pause := true, minRetryDelay
 	for ctx.Err() == nil {
 		wait := c.wait
 		if first {
 			wait = 0
 		}
 		var reply R
-		rest := minWatchGap
+		delay := minWatchInterval
 		if err := c.get(ctx, fmt.Sprintf("%s?after=%d&wait=%d", path, after, wait.Milliseconds()), wait, &reply); err != nil {
 			failed()
-			first, rest = true, pause
-			pause = min(2*pause, retryMost)
+			first, delay = true, pause
+			pause = min(2*pause, maxRetryDelay)
 		} else {
-			after = got(reply, first)
-			first, pause = false, retryFirst
+			after = handle(reply, first)
+			first, pause = false, minRetryDelay
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(rest):
+		case <-time.After(delay):
 		}
 	}
 }
@@ -135,5 +136,5 @@
 	if resp.StatusCode != http.StatusOK {
 		return trace.ConnectionProblem(nil, "the platform answered %s", resp.Status)
 	}
-	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxReply)).Decode(into))
+	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(into))
 }
--- a/internal/confstate/confstate.go
+++ b/internal/confstate/confstate.go
@@ -1,5 +1,5 @@
-// Package confstate holds the accepted configuration. It only moves forward: per record the
-// highest accepted revision wins, whoever brings it, and a deletion is a revision too.
+// Package confstate holds the accepted configuration. It never goes back: per record the highest
+// accepted revision wins, whatever its source. A deletion is a revision too.
 package confstate
 
 import (
@@ -11,14 +11,14 @@
 	"fireflyshift/internal/record"
 )
 
-// Refused tells why a published revision is not in force.
+// Refused is a published revision that was refused, with the reason.
 type Refused struct {
 	Key      record.Key
 	Revision uint64
 	Reason   string
 }
 
-// entry is a record in force.
+// entry is an accepted record in its published and its converted form.
 type entry struct {
 	raw   record.Raw
 	value record.Value
@@ -39,11 +39,11 @@
 	return &State{entries: map[record.Key]entry{}, refused: map[record.Key]Refused{}, keys: map[string]string{}}
 }
 
-// Apply takes published records and returns those that are newly in force.
+// Apply applies published records and returns those that were accepted.
 //
-// The revision comparison guards against a stale platform or a peer that slept: either would bring
-// an older revision, and callers would see a setting revert. The guard holds since the revision in
-// force is only ever replaced by a greater one, and no other code writes entries.
+// The revision comparison protects against a stale platform or a peer that was suspended: either could
+// send an older revision, and callers would see a setting revert. It suffices because an accepted
+// revision is only replaced by a greater one, and no other code writes entries.
 func (s *State) Apply(raws []record.Raw) []record.Raw {
 	var accepted []record.Raw
 	for _, r := range raws {
@@ -65,16 +65,16 @@
 	}
 	value, err := record.Convert(r)
 	if err != nil {
-		s.refuse(r, err)
+		s.recordRefusal(r, err)
 		return false
 	}
 	if refused, ok := s.refused[r.Key()]; ok && refused.Revision < r.Revision {
 		delete(s.refused, r.Key())
 	}
 	if known {
-		s.digest ^= stamp(old.raw)
+		s.digest ^= recordHash(old.raw)
 	}
-	s.digest ^= stamp(r)
+	s.digest ^= recordHash(r)
 	s.entries[r.Key()] = entry{r, value}
 	if r.Revision > s.revision {
 		s.revision = r.Revision
@@ -82,10 +82,10 @@
 	return true
 }
 
-// maxRefused bounds what a flood of bad records can take.
+// maxRefused limits the memory that invalid records can use.
 const maxRefused = 1000
 
-func (s *State) refuse(r record.Raw, err error) {
+func (s *State) recordRefusal(r record.Raw, err error) {
 	old, known := s.refused[r.Key()]
 	if known && old.Revision >= r.Revision {
 		return
@@ -96,8 +96,8 @@
 	s.refused[r.Key()] = Refused{r.Key(), r.Revision, err.Error()}
 }
 
-// stamp is the record's part of the digest: XOR makes the sum independent of order.
-func stamp(r record.Raw) uint64 {
+// recordHash is a record's contribution to the digest. Contributions are combined by XOR, so their order does not matter.
+func recordHash(r record.Raw) uint64 {
 	b := binary.BigEndian.AppendUint64([]byte(r.Key().String()), r.Revision)
 	return xxhash.Sum64(b)
 }
@@ -113,19 +113,19 @@
 	}
 }
 
-// Revision is the highest accepted revision.
+// Revision returns the highest accepted revision.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Digest is equal on two hosts exactly when, but for hash collisions, they hold the same revisions.
+// Digest returns a hash that, except for collisions, is equal on two hosts if and only if they have accepted the same revisions.
 func (s *State) Digest() uint64 { return s.digest }
 
-// Version grows with each change; it orders nothing between hosts.
+// Version returns a number that grows with each change. It is local and not comparable between hosts.
 func (s *State) Version() uint64 { return s.version }
 
-// RevisionOf gives the revision in force of one record, zero if none.
+// RevisionOf returns the accepted revision of a record, zero if there is none.
 func (s *State) RevisionOf(k record.Key) uint64 { return s.entries[k].raw.Revision }
 
-// After lists the records in force above a revision, deletions included, by revision.
+// After returns the accepted records above a revision, including deletions, ordered by revision.
 func (s *State) After(revision uint64) []record.Raw {
 	var out []record.Raw
 	for _, e := range s.entries {
@@ -137,7 +137,7 @@
 	return out
 }
 
-// RefusedRecords lists what is not in force and why, by key.
+// RefusedRecords returns the refused revisions, ordered by key.
 func (s *State) RefusedRecords() []Refused {
 	out := make([]Refused, 0, len(s.refused))
 	for _, r := range s.refused {
@@ -147,47 +147,47 @@
 	return out
 }
 
-// WorkspaceByKey finds the workspace whose record lists the key's hash.
+// WorkspaceByKey returns the workspace whose record lists the key's hash, nil if there is none.
 func (s *State) WorkspaceByKey(hash string) *record.Workspace {
 	return s.Workspace(s.keys[hash])
 }
 
-// Workspace finds a workspace, nil if none is in force.
+// Workspace returns a workspace by name, nil if there is none.
 func (s *State) Workspace(name string) *record.Workspace {
 	return s.entries[record.Key{Kind: record.KindWorkspace, Name: name}].value.Workspace
 }
 
-// Tier finds a tier, nil if none is in force.
+// Tier returns a tier by name, nil if there is none.
 func (s *State) Tier(name string) *record.Tier {
 	return s.entries[record.Key{Kind: record.KindTier, Name: name}].value.Tier
 }
 
-// Service finds a service, nil if none is in force.
+// Service returns a service by name, nil if there is none.
 func (s *State) Service(name string) *record.Service {
 	return s.entries[record.Key{Kind: record.KindService, Name: name}].value.Service
 }
 
-// Backend finds a backend server, nil if none is in force.
+// Backend returns a backend server by name, nil if there is none.
 func (s *State) Backend(name string) *record.Backend {
 	return s.entries[record.Key{Kind: record.KindBackend, Name: name}].value.Backend
 }
 
-// Workspaces lists the workspaces in force, by name.
+// Workspaces returns all workspaces, ordered by name.
 func (s *State) Workspaces() []*record.Workspace {
 	return list(s, func(v record.Value) *record.Workspace { return v.Workspace })
 }
 
-// Tiers lists the tiers in force, by name.
+// Tiers returns all tiers, ordered by name.
 func (s *State) Tiers() []*record.Tier {
 	return list(s, func(v record.Value) *record.Tier { return v.Tier })
 }
 
-// Services lists the services in force, by name.
+// Services returns all services, ordered by name.
 func (s *State) Services() []*record.Service {
 	return list(s, func(v record.Value) *record.Service { return v.Service })
 }
 
-// Backends lists the backend servers in force, by name.
+// Backends returns all backend servers, ordered by name.
 func (s *State) Backends() []*record.Backend {
 	return list(s, func(v record.Value) *record.Backend { return v.Backend })
 }
@@ -211,7 +211,7 @@
 	return out
 }
 
-// Snapshot is an immutable copy of what the traffic side needs of a configuration.
+// Snapshot is an immutable copy of the parts of a configuration that request handling needs.
 type Snapshot struct {
 	Revision uint64
 	keys     map[string]*record.Workspace
@@ -219,8 +219,8 @@
 	services map[string]*record.Service
 }
 
-// Snapshot copies the configuration for other goroutines. Converted records are never changed in
-// place, so the copy is shallow.
+// Snapshot returns a copy for use by other goroutines. The copy is shallow, since converted records are never
+// changed in place.
 func (s *State) Snapshot() *Snapshot {
 	out := &Snapshot{Revision: s.revision, keys: map[string]*record.Workspace{},
 		tiers: map[string]*record.Tier{}, services: map[string]*record.Service{}}
@@ -236,11 +236,11 @@
 	return out
 }
 
-// WorkspaceByKey finds the workspace of a key's hash, nil if there is none.
+// WorkspaceByKey returns the workspace that owns the key with the given hash, nil if there is none.
 func (s *Snapshot) WorkspaceByKey(hash string) *record.Workspace { return s.keys[hash] }
 
-// Tier finds a tier, nil if none is in force.
+// Tier returns a tier by name, nil if there is none.
 func (s *Snapshot) Tier(name string) *record.Tier { return s.tiers[name] }
 
-// Service finds a service, nil if none is in force.
+// Service returns a service by name, nil if there is none.
 func (s *Snapshot) Service(name string) *record.Service { return s.services[name] }
--- a/internal/record/convert.go
+++ b/internal/record/convert.go
@@ -13,7 +13,7 @@
 	"fireflyshift/internal/fault"
 )
 
-// The bounds that a record has to keep.
+// Limits on the contents of records.
 const (
 	MaxPriority  = 15
 	MaxSlots     = 4096
@@ -30,13 +30,13 @@
 // converter decodes the body of one kind in one schema version.
 type converter func(r Raw) (Value, error)
 
-// converters is keyed by schema version: 1 is the old side's shape, 2 the new side's.
+// converters holds the converters by schema version. Schema 1 is the older form of records, schema 2 the newer.
 var converters = map[uint32]map[Kind]converter{
 	1: {KindWorkspace: workspaceV1, KindTier: tierV1, KindService: serviceV1, KindBackend: backendV1},
 	2: {KindWorkspace: workspaceV2, KindTier: tierV2, KindService: serviceV2, KindBackend: backendV2},
 }
 
-// Convert checks a record and returns its internal form. A deletion has no value.
+// Convert validates a record and returns its internal form. A deletion gives the zero Value.
 func Convert(r Raw) (Value, error) {
 	if !namePattern.MatchString(r.Name) {
 		return Value{}, invalid(r, "name", "use lower-case letters, digits, dots and dashes, at most 63", "name %q is not allowed", r.Name)
@@ -66,7 +66,7 @@
 	return fault.Invalidf(r.Key().String()+" field "+field, remedy, format, args...)
 }
 
-// decode is strict: an unknown field is most often a misspelt one, and would be lost in silence.
+// decode refuses unknown fields: most are misspelt, and would be ignored silently otherwise.
 func decode(r Raw, into any) error {
 	d := json.NewDecoder(bytes.NewReader(r.Body))
 	d.DisallowUnknownFields()
@@ -200,7 +200,7 @@
 	return Value{Tier: t}, nil
 }
 
-// The deadlines that a tier or a caller may set.
+// Default and limits of the deadline that a tier or a caller may set.
 const (
 	DefaultDeadline = 30 * time.Second
 	MinDeadline     = 10 * time.Millisecond
@@ -241,7 +241,7 @@
 	return checkService(r, &Service{Name: r.Name, Kind: kind, Policy: b.Routing.Policy, DefaultTier: b.Tier})
 }
 
-// Policies are the placement policies that a service record may name.
+// Policies lists the scheduling policies that a service record may use. The first one is the default.
 var Policies = []string{"cost", "round-robin", "random", "least-loaded", "two-choices", "prefix", "first-come"}
 
 func checkService(r Raw, s *Service) (Value, error) {
@@ -316,7 +316,7 @@
 		return Value{}, invalid(r, "service, zone", "name the service and the availability zone", "one is missing")
 	}
 	if a, err := netip.ParseAddrPort(b.Addr); err != nil || a.Port() == 0 {
-		return Value{}, invalid(r, "addr", "give an IP number and a port, as 10.0.0.1:8000", "address %q is not usable", b.Addr)
+		return Value{}, invalid(r, "addr", "give an IP address and a port, such as 10.0.0.1:8000", "address %q is not usable", b.Addr)
 	}
 	if b.Slots < 1 || b.Slots > MaxSlots {
 		return Value{}, invalid(r, "slots", "give 1 to 4096", "%d slots", b.Slots)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record converts the operators' published records, in each schema version, to one
-// internal form. Conversion is a pure function of the record, so all hosts accept the same set.
+// Package record converts the records published by operators from every schema version to one internal
+// form. Conversion is a pure function of the record, so all hosts accept the same records.
 package record
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind names what a record describes.
+// Kind is the type of object that a record describes.
 type Kind string
 
 // The kinds of record.
@@ -18,13 +18,13 @@
 	KindBackend   Kind = "backend"
 )
 
-// Key identifies a record.
+// Key identifies a record by kind and name.
 type Key struct {
 	Kind Kind
 	Name string
 }
 
-// String is "kind/name".
+// String returns "kind/name".
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
 // Raw is a record as published: the envelope and its body.
@@ -37,25 +37,25 @@
 	Body     json.RawMessage `json:"body,omitempty"`
 }
 
-// Key returns the record's identity.
+// Key returns the record's kind and name.
 func (r Raw) Key() Key { return Key{r.Kind, r.Name} }
 
-// Workspace is a customer and its rights.
+// Workspace is a customer with its keys, tiers and limits.
 type Workspace struct {
 	Name string
 	// KeyHashes are lower-case hex SHA-256 sums of the keys.
 	KeyHashes []string
 	Tiers     []string
-	// Weight is the share of a tier relative to other workspaces; at least 0.01.
+	// Weight is the workspace's share of a tier relative to other workspaces; at least 0.01.
 	Weight float64
-	// Rate is requests a second over the whole fleet; zero means no limit.
+	// Rate is the limit in requests per second over the whole fleet; zero means no limit.
 	Rate float64
-	// Burst is how many requests may come at once.
+	// Burst is the number of requests that may arrive at once.
 	Burst int
 }
 
-// Grants tells whether the workspace may use a tier.
-func (w *Workspace) Grants(tier string) bool {
+// AllowsTier reports whether the workspace may use a tier.
+func (w *Workspace) AllowsTier(tier string) bool {
 	for _, t := range w.Tiers {
 		if t == tier {
 			return true
@@ -67,15 +67,15 @@
 // Tier is a class of urgency.
 type Tier struct {
 	Name string
-	// Priority orders tiers; the greater is the more urgent (0 to 15).
+	// Priority orders tiers from 0 (lowest) to 15 (most urgent).
 	Priority uint32
-	// ReservePercent of a backend server's slots is kept from tiers below this one.
+	// ReservePercent is the percentage of a backend server's slots that lower tiers may not use.
 	ReservePercent int
-	// Deadline is used when the caller names none.
+	// Deadline applies if the caller sets none.
 	Deadline time.Duration
 }
 
-// ServiceKind tells how a service is spoken to.
+// ServiceKind selects the protocol of a service.
 type ServiceKind string
 
 // The kinds of service.
@@ -84,13 +84,13 @@
 	ServicePlain ServiceKind = "plain"
 )
 
-// Service is something callers ask for by name.
+// Service is a destination that callers address by name.
 type Service struct {
 	Name string
 	Kind ServiceKind
-	// Policy names the placement policy; see package sched.
+	// Policy is the name of the scheduling policy; see package sched.
 	Policy string
-	// DefaultTier is used when the caller names none.
+	// DefaultTier applies if the caller names none.
 	DefaultTier string
 }
 
@@ -99,17 +99,17 @@
 	Name    string
 	Service string
 	Zone    string
-	// Addr is host:port, by IP number.
+	// Addr is IP:PORT.
 	Addr string
-	// Slots is how many requests it can run at once, as its operator declares.
+	// Slots is the number of requests that it can run at once, as declared by its operator.
 	Slots int
-	// Leaving tells that it must get no new work.
+	// Leaving reports that it must not get new requests.
 	Leaving bool
-	// CanSuspend tells that it exports and imports KV cache.
+	// CanSuspend reports that it can export and import KV cache.
 	CanSuspend bool
 }
 
-// Value is a converted record: exactly one pointer is set.
+// Value is a converted record. Exactly one pointer is set, or none for a deletion.
 type Value struct {
 	Workspace *Workspace
 	Tier      *Tier
