--- a/cmd/fireflyshiftd/main.go
+++ b/cmd/fireflyshiftd/main.go
@@ -79,8 +79,8 @@
 	node.Tune(set)
 	metrics := telemetry.NewMetrics()
 	log, flush := telemetry.NewLogger(os.Stdout, "info", true, metrics)
-	store := platform.NewStore(set.Store, upstream.Transport(), telemetry.For(log, "store"))
-	err = node.Run(ctx, set, node.Parts{Store: store, Wire: platform.Wire{}, Reload: reload,
+	store := platform.NewStore(set.Store, upstream.Transport(), telemetry.ComponentLogger(log, "store"))
+	err = node.Run(ctx, set, node.Dependencies{Store: store, Wire: platform.Wire{}, Reload: reload,
 		Load: func() (*node.Settings, error) { return platform.LoadSettings(path) }}, log, metrics)
 	stopped(log, flush, err)
 }
--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -51,7 +51,7 @@
 func newJournal() *journal {
 	j := &journal{start: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)}
 	j.line(0, `"message":"Serving.","zone":"zone-a"`)
-	j.line(0, `"message":"Belief changed.","what":"backend server joined","subject":"e1","detail":"models 10.0.0.1:80 slots=2"`)
+	j.line(0, `"message":"Cluster state changed.","what":"backend server joined","subject":"e1","detail":"models 10.0.0.1:80 slots=2"`)
 	return j
 }
 
@@ -140,3 +140,24 @@
 	require.Contains(t, data.String(), `"Bound"`)
 	require.NoError(t, r.Plot(t.TempDir()+"/bound.svg"))
 }
+
+// Logs of earlier builds have "Belief changed." where later ones have "Cluster state changed.". Either text must give the
+// same servers and the same result.
+func TestStateChangesInLogsOfEarlierBuilds(t *testing.T) {
+	later := newJournal()
+	for i := 0; i < 20; i++ {
+		later.stream(time.Duration(i)*500*ms, "")
+	}
+	later.line(11*time.Second, `"message":"Cluster state changed.","what":"backend server drains","subject":"e1"`)
+	later.refused(12*time.Second, "overloaded")
+	earlier := &journal{start: later.start}
+	earlier.b.WriteString(strings.ReplaceAll(later.b.String(), "Cluster state changed.", "Belief changed."))
+	require.NotContains(t, earlier.b.String(), "Cluster state changed.")
+	servers := map[string]*Server{"e1": {ID: "e1", Service: "models", Slots: 2, To: 11 * time.Second}}
+	for _, j := range []*journal{earlier, later} {
+		l := NewLogs()
+		require.NoError(t, l.Read("log", strings.NewReader(j.b.String())))
+		require.Equal(t, servers, l.Servers)
+	}
+	require.Equal(t, later.compute(t), earlier.compute(t))
+}
--- a/internal/bound/read.go
+++ b/internal/bound/read.go
@@ -127,7 +127,7 @@
 	switch in.Message {
 	case "Serving.":
 		l.zones[host] = in.Zone
-	case "Belief changed.":
+	case "Cluster state changed.", "Belief changed.": // the latter in logs of earlier builds
 		l.believe(now, in)
 	case "Ended.":
 		l.ended(host, now, in)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -1,5 +1,5 @@
-// Package daemon wires the parts of fireflyshiftd together: one control thread that owns the
-// reducer, and the threads that carry traffic.
+// Package daemon assembles fireflyshiftd: a control thread that owns the reducer, the servers and the
+// links to other hosts.
 package daemon
 
 import (
@@ -18,20 +18,20 @@
 )
 
 const (
-	eventQueue = 16384
-	// lateTick is a gap between ticks that is worth a line in the log: the process was paused.
-	lateTick = 500 * time.Millisecond
+	queueLength = 16384
+	// pauseThreshold is the gap between ticks from which the log reports that the process was paused.
+	pauseThreshold = 500 * time.Millisecond
 )
 
-// envelope is one entry of the control thread's queue.
-type envelope struct {
+// queueEntry is an entry of the control thread's queue: an event or a query.
+type queueEntry struct {
 	event   core.Event
-	effects chan<- core.Effect // set with Submit
+	effects chan<- core.Effect // set for core.Submit only
 	query   func(*core.Core)
 }
 
-// outlets are where the control thread sends effects that are not for a caller.
-type outlets struct {
+// effectHandlers perform the effects that do not concern a caller.
+type effectHandlers struct {
 	send         func(member.Host, *peerpb.Message)
 	readPlatform func(on bool, after uint64)
 	readHosts    func()
@@ -41,56 +41,56 @@
 
 // control is the control thread. Its exported methods may be called from any goroutine.
 type control struct {
-	core    *core.Core
-	queue   chan envelope
-	clock   *timing.BootClock
-	config  atomic.Pointer[confstate.Snapshot]
-	ready   atomic.Bool
-	leaving atomic.Bool // shutting down, before the reducer knows
-	held    atomic.Int64
-	callers map[string]chan<- core.Effect
-	out     outlets
-	metrics telemetry.Metrics
-	log     zerolog.Logger
-	done    chan struct{}
+	core           *core.Core
+	queue          chan queueEntry
+	clock          *timing.BootClock
+	config         atomic.Pointer[confstate.Snapshot]
+	ready          atomic.Bool
+	shuttingDown   atomic.Bool // set at the start of a shutdown, before the reducer is informed
+	activeRequests atomic.Int64
+	callers        map[string]chan<- core.Effect
+	out            effectHandlers
+	metrics        telemetry.Metrics
+	log            zerolog.Logger
+	done           chan struct{}
 }
 
 func newControl(c *core.Core, m telemetry.Metrics, log zerolog.Logger) *control {
-	ctl := &control{core: c, queue: make(chan envelope, eventQueue), clock: timing.NewBootClock(),
+	ctl := &control{core: c, queue: make(chan queueEntry, queueLength), clock: timing.NewBootClock(),
 		callers: map[string]chan<- core.Effect{}, metrics: m, log: log, done: make(chan struct{})}
 	ctl.config.Store(c.Config().Snapshot())
 	return ctl
 }
 
-// Now is the time since the start of the process, the time that the machine was suspended included: leases end and
-// pauses show by it.
+// Now returns the time since the start of the process, including time in which the machine was suspended. Leases and the
+// detection of pauses depend on that.
 func (c *control) Now() time.Duration { return c.clock.Now() }
 
-// Config is the configuration in force.
+// Config returns the active configuration.
 func (c *control) Config() *confstate.Snapshot { return c.config.Load() }
 
 // Submit passes a caller's request to the reducer.
 func (c *control) Submit(s core.Submit, effects chan<- core.Effect) {
-	c.put(envelope{event: s, effects: effects})
+	c.put(queueEntry{event: s, effects: effects})
 }
 
-// Post passes an event to the reducer. It waits while the queue is full.
-func (c *control) Post(e core.Event) { c.put(envelope{event: e}) }
+// Post passes an event to the reducer. It blocks while the queue is full.
+func (c *control) Post(e core.Event) { c.put(queueEntry{event: e}) }
 
-func (c *control) put(e envelope) {
+func (c *control) put(e queueEntry) {
 	select {
 	case c.queue <- e:
 	case <-c.done:
 	}
 }
 
-// query runs f on the control thread and reports whether it did within the timeout.
+// query runs f on the control thread and reports whether it ran within the timeout.
 func (c *control) query(timeout time.Duration, f func(*core.Core)) bool {
 	ran := make(chan struct{})
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case c.queue <- envelope{query: func(k *core.Core) { f(k); close(ran) }}:
+	case c.queue <- queueEntry{query: func(k *core.Core) { f(k); close(ran) }}:
 	case <-timer.C:
 		return false
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// run is the control thread.
+// run is the control thread's loop. It returns when ctx is done.
 func (c *control) run(ctx context.Context) {
 	defer close(c.done)
 	timer := time.NewTimer(core.TickInterval)
@@ -114,13 +114,13 @@
 		case <-ctx.Done():
 			return
 		case e := <-c.queue:
-			c.step(e)
+			c.handle(e)
 			if soon := c.Now() + core.TickInterval; soon < next && c.core.NextTick() == core.TickInterval {
 				next = soon
 				timer.Reset(core.TickInterval)
 			}
 		case <-timer.C:
-			if gap := c.Now() - latest; gap > lateTick {
+			if gap := c.Now() - latest; gap > pauseThreshold {
 				c.log.Warn().Dur("gap_ms", gap).Msg("The process was paused.")
 			}
 			latest = c.Now()
@@ -133,7 +133,7 @@
 	}
 }
 
-func (c *control) step(e envelope) {
+func (c *control) handle(e queueEntry) {
 	if e.query != nil {
 		e.query(c.core)
 		return
@@ -147,7 +147,7 @@
 func (c *control) reduce(e core.Event) {
 	started := time.Now()
 	for _, eff := range c.core.Reduce(c.Now(), e) {
-		c.carryOut(eff)
+		c.execute(eff)
 	}
 	c.metrics.Timer("control.reduce").UpdateSince(started)
 	for _, v := range c.core.Violations() {
@@ -156,22 +156,22 @@
 	}
 }
 
-func (c *control) carryOut(eff core.Effect) {
+func (c *control) execute(eff core.Effect) {
 	switch e := eff.(type) {
 	case core.Send:
 		c.out.send(e.To, e.Message)
 		c.out.spans.sent(e.To.ID, e.Message)
 	case core.Dispatch:
 		c.metrics.Count("dispatch", 1)
-		c.toCaller(e.ID, e)
+		c.notifyCaller(e.ID, e)
 	case core.Suspend:
-		c.toCaller(e.ID, e)
+		c.notifyCaller(e.ID, e)
 	case core.Finish:
-		c.toCaller(e.ID, e)
+		c.notifyCaller(e.ID, e)
 		delete(c.callers, e.ID)
 	case core.ConfigChanged:
 		c.config.Store(c.core.Config().Snapshot())
-		c.log.Info().Uint64("revision", c.core.Config().Revision()).Msg("Configuration in force.")
+		c.log.Info().Uint64("revision", c.core.Config().Revision()).Msg("Configuration activated.")
 	case core.ReadPlatform:
 		c.out.readPlatform(e.On, e.After)
 	case core.ReadHosts:
@@ -181,8 +181,8 @@
 	}
 }
 
-// toCaller never blocks: the channel holds more than one request ever has outstanding.
-func (c *control) toCaller(id string, e core.Effect) {
+// notifyCaller never blocks: the channel's capacity exceeds the number of effects that a request can have outstanding.
+func (c *control) notifyCaller(id string, e core.Effect) {
 	ch, ok := c.callers[id]
 	if !ok {
 		return
@@ -191,20 +191,20 @@
 	case ch <- e:
 	default:
 		c.metrics.Count("control.effect_lost", 1)
-		c.log.Error().Str("request", id).Msg("A request did not take its effects.")
+		c.log.Error().Str("request", id).Msg("Effect dropped: the request's channel is full.")
 	}
 }
 
-// publish updates what other goroutines read without asking.
+// publish updates the values that other goroutines read without a query.
 func (c *control) publish() {
 	c.ready.Store(c.core.Ready())
-	c.held.Store(int64(c.core.Requests()))
+	c.activeRequests.Store(int64(c.core.Requests()))
 	c.metrics.Set("requests.held", int64(c.core.Requests()))
 	c.metrics.Set("control.queue", int64(len(c.queue)))
 }
 
-// unready takes the host out of the balancer while it still serves.
-func (c *control) unready() { c.leaving.Store(true) }
+// setUnready makes the readiness probe fail while the host still serves.
+func (c *control) setUnready() { c.shuttingDown.Store(true) }
 
 // Linked implements peer.Receiver.
 func (c *control) Linked(h member.Host, incarnation uint64) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,9 +35,10 @@
 	headerTimeout = 5 * time.Second
 	idleTimeout   = 2 * time.Minute
 	drainPoll     = 20 * time.Millisecond
-	// closeTimeout bounds the end of callers' connections, peersTimeout then the last words to peers.
-	closeTimeout = 1500 * time.Millisecond
-	peersTimeout = 500 * time.Millisecond
+	// closeTimeout limits the closing of callers' connections, and peerCloseTimeout after that the sending of queued messages
+	// to peers.
+	closeTimeout     = 1500 * time.Millisecond
+	peerCloseTimeout = 500 * time.Millisecond
 )
 
 // Daemon is one running host.
@@ -50,7 +51,7 @@
 	sender  *peer.Sender
 	peers   *grpc.Server
 	callers *http.Server
-	// connections are the callers'.
+	// connections are those of callers.
 	connections *ingress.Connections
 	edge        *edge.Server
 	admin       *http.Server
@@ -58,9 +59,9 @@
 	engines     *engineWatch
 }
 
-// Run serves until ctx ends, then shuts down gracefully; a second signal, seen as the end of hard,
-// ends the wait for answers.
-func Run(ctx, hard context.Context, set *settings.Settings, log zerolog.Logger, m telemetry.Metrics) error {
+// Run serves until ctx is done, then shuts down gracefully. forced is done at a second signal, which ends the
+// wait for requests in progress.
+func Run(ctx, forced context.Context, set *settings.Settings, log zerolog.Logger, m telemetry.Metrics) error {
 	if set.Host.Threads > 0 {
 		runtime.GOMAXPROCS(set.Host.Threads)
 	}
@@ -78,7 +79,7 @@
 	d.serve(work, g, listeners)
 	d.log.Info().Str("host", set.Host.ID).Str("zone", set.Host.Zone).Str("callers", set.Listen.Callers).Msg("Serving.")
 	<-ctx.Done()
-	if !d.drain(hard) {
+	if !d.drain(forced) {
 		d.edge.Shutdown()
 		d.control.Post(core.Stop{})
 	}
@@ -105,8 +106,8 @@
 	}
 	self := member.Host{ID: set.Host.ID, Zone: set.Host.Zone, Addr: set.Listen.AdvertisePeers}
 	c := core.New(core.Options{Self: self, Incarnation: incarnation, Sched: sched.DefaultOptions(), MaxRequests: set.Limits.MaxRequests})
-	ctl := newControl(c, m, telemetry.For(log, "control"))
-	d := &Daemon{set: set, log: telemetry.For(log, "daemon"), tracing: tracing, metrics: m, control: ctl,
+	ctl := newControl(c, m, telemetry.ComponentLogger(log, "control"))
+	d := &Daemon{set: set, log: telemetry.ComponentLogger(log, "daemon"), tracing: tracing, metrics: m, control: ctl,
 		connections: ingress.New(edge.NotRunHeader)}
 	d.sender = peer.NewSender(ctx, peer.Options{
 		Self:   &peerpb.Sender{Host: self.ID, Incarnation: incarnation, Zone: self.Zone, Addr: self.Addr},
@@ -120,13 +121,13 @@
 	d.reader = &toggle{ctx: ctx, run: func(ctx context.Context, after uint64) { client.WatchRecords(ctx, after, ctl.Post) }}
 	d.engines = newEngineWatch(ctx, ctl.Post)
 	hosts := &toggle{ctx: ctx, run: func(ctx context.Context, _ uint64) { client.WatchHosts(ctx, ctl.Post) }}
-	ctl.out = outlets{send: d.sender.Send, readPlatform: d.reader.set, readHosts: hosts.again, watchEngines: d.engines.set, spans: newSlotSpans(tracing)}
+	ctl.out = effectHandlers{send: d.sender.Send, readPlatform: d.reader.set, readHosts: hosts.restart, watchEngines: d.engines.set, spans: newSlotSpans(tracing)}
 	d.buildServers(incarnation, log)
 	hosts.set(true, 0)
 	return d, nil
 }
 
-// newIncarnation is random, so that a clock set back cannot make two starts of a host look alike.
+// newIncarnation returns a random number, so that two starts of a host differ even if its clock was set back.
 func newIncarnation() (uint64, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -142,7 +143,7 @@
 		MaxBodyBytes:   d.set.Limits.MaxBodyBytes,
 		MaxAnswerBytes: d.set.Limits.MaxAnswerBytes,
 		BodyTimeout:    d.set.Limits.BodyTimeout,
-	}, d.control, d.tracing, d.metrics, telemetry.For(log, "edge"))
+	}, d.control, d.tracing, d.metrics, telemetry.ComponentLogger(log, "edge"))
 	d.callers = &http.Server{Handler: d.edge.Handler(), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: d.set.Limits.MaxHeaderBytes}
 	d.connections.Guard(d.callers, http.HandlerFunc(d.edge.RejectShutdown))
@@ -200,53 +201,53 @@
 	return trace.Wrap(err)
 }
 
-// drain is the graceful shutdown. Readiness goes first, so that the balancer looks elsewhere, and
-// requests are still taken for the grace; then new ones are refused and duties move; then it waits
-// until no request is in hand, those that are still read among them. It reports false where Drain.Limit or a second
-// signal ends the wait.
-func (d *Daemon) drain(hard context.Context) bool {
-	d.log.Info().Dur("grace", d.set.Drain.Grace).Msg("Draining. A second signal ends the wait for answers.")
-	d.control.unready()
+// drain shuts down gracefully. First the readiness probe fails, so that the load balancer stops sending connections, but
+// requests are still accepted for Drain.Grace. Then new requests are refused and this host's roles move to other hosts.
+// Then drain waits until no request is in progress, including those whose body is still being read. It returns false if
+// Drain.Limit or a second signal ends the wait.
+func (d *Daemon) drain(forced context.Context) bool {
+	d.log.Info().Dur("grace", d.set.Drain.Grace).Msg("Draining. A second signal ends the wait for requests in progress.")
+	d.control.setUnready()
 	d.edge.Drain()
-	if timing.Sleep(hard, d.set.Drain.Grace) {
+	if timing.Sleep(forced, d.set.Drain.Grace) {
 		d.control.Post(core.Drain{})
-		if d.awaitAnswers(hard) {
+		if d.awaitRequests(forced) {
 			d.log.Info().Msg("Drained.")
 			return true
 		}
 	}
-	in := d.log.Warn().Int("in_use", d.connections.InUse()).Int64("held", d.control.held.Load())
-	if hard.Err() != nil {
-		in.Msg("Second signal. Answers are cut.")
+	event := d.log.Warn().Int("in_use", d.connections.InUse()).Int64("held", d.control.activeRequests.Load())
+	if forced.Err() != nil {
+		event.Msg("Second signal. Responses in progress are aborted.")
 	} else {
-		in.Msg("Drain limit reached. Answers are cut. Raise [drain] limit if they matter.")
+		event.Msg("Drain limit reached. Responses in progress are aborted. Raise [drain] limit to wait longer.")
 	}
 	return false
 }
 
-func (d *Daemon) awaitAnswers(hard context.Context) bool {
+func (d *Daemon) awaitRequests(forced context.Context) bool {
 	until := time.Now().Add(d.set.Drain.Limit)
 	for time.Now().Before(until) {
-		held := 0
-		known := d.control.query(queryTimeout, func(c *core.Core) { held = c.Requests() })
-		if known && held == 0 && d.connections.TryStop() {
+		requests := 0
+		known := d.control.query(queryTimeout, func(c *core.Core) { requests = c.Requests() })
+		if known && requests == 0 && d.connections.TryStop() {
 			return true
 		}
-		if !timing.Sleep(hard, drainPoll) {
+		if !timing.Sleep(forced, drainPoll) {
 			return false
 		}
 	}
 	return false
 }
 
-// close ends the connections, and then the links to peers, which have to learn how requests ended.
+// close closes callers' connections first, and then the links to peers, which must be informed of the outcomes of requests.
 func (d *Daemon) close() {
 	callers, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	cut := d.connections.Close(callers)
 	_ = d.callers.Close()
 	d.log.Info().Int("cut", cut).Int("notified", d.connections.Notified()).Msg("Connections closed.")
-	ctx, cancel := context.WithTimeout(context.Background(), peersTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), peerCloseTimeout)
 	defer cancel()
 	d.sender.Close(ctx)
 	_ = d.admin.Close()
@@ -255,16 +256,16 @@
 }
 
 // Ready implements admin.Source.
-func (d *Daemon) Ready() bool { return d.control.ready.Load() && !d.control.leaving.Load() }
+func (d *Daemon) Ready() bool { return d.control.ready.Load() && !d.control.shuttingDown.Load() }
 
-// Healthy implements admin.Source: the control thread answers.
+// Healthy implements admin.Source. It reports whether the control thread responds.
 func (d *Daemon) Healthy() bool { return d.control.query(queryTimeout, func(*core.Core) {}) }
 
 // Status implements admin.Source.
 func (d *Daemon) Status() (core.Status, bool) {
 	var s core.Status
 	ok := d.control.query(queryTimeout, func(c *core.Core) { s = c.Status() })
-	s.Ready = s.Ready && !d.control.leaving.Load()
+	s.Ready = s.Ready && !d.control.shuttingDown.Load()
 	return s, ok
 }
 
--- a/internal/daemon/spans.go
+++ b/internal/daemon/spans.go
@@ -10,16 +10,16 @@
 	"fireflyshift/internal/telemetry"
 )
 
-// maxSpans bounds the spans of requests that wait at this scheduler.
+// maxSpans limits the open spans of requests that wait at this scheduler.
 const maxSpans = 20_000
 
-// slotKey names a request at its entry host.
+// slotKey identifies a request by its entry host and its number there.
 type slotKey struct {
 	host    string
 	request uint64
 }
 
-// slotSpans makes the scheduler's hop visible: from Acquire to Grant or Refusal.
+// slotSpans records a trace span for each request at the scheduler, from Acquire to Grant or Refusal.
 type slotSpans struct {
 	tracing *telemetry.Tracing
 	mu      sync.Mutex
@@ -38,7 +38,7 @@
 	k := slotKey{from, a.Request}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, waits := s.open[k]; waits || len(s.open) >= maxSpans {
+	if _, exists := s.open[k]; exists || len(s.open) >= maxSpans {
 		return
 	}
 	_, span := s.tracing.Start(s.tracing.FromTraceparent(context.Background(), a.Traceparent), "scheduler: wait for slot")
--- a/internal/daemon/watch.go
+++ b/internal/daemon/watch.go
@@ -10,13 +10,13 @@
 	"fireflyshift/internal/engine"
 )
 
-// How often a scheduler hears each of its engines.
+// How often a scheduler polls each of its engines.
 const (
-	loadEvery   = 500 * time.Millisecond
-	eventsEvery = 2 * time.Second
+	loadInterval      = 500 * time.Millisecond
+	evictionsInterval = 2 * time.Second
 )
 
-// toggle runs the watch of the platform while it is on.
+// toggle starts and stops a watch of the platform.
 type toggle struct {
 	ctx    context.Context
 	run    func(ctx context.Context, after uint64)
@@ -43,13 +43,13 @@
 	}
 }
 
-// again ends the watch and begins it anew, with a read that does not wait.
-func (t *toggle) again() {
+// restart stops the watch and starts it again, with a first read that does not wait.
+func (t *toggle) restart() {
 	t.set(false, 0)
 	t.set(true, 0)
 }
 
-// engineWatch hears the load and the cache events of the engines that this host schedules.
+// engineWatch polls the load and the cache evictions of the engines that this host schedules.
 type engineWatch struct {
 	ctx    context.Context
 	client *engine.Client
@@ -63,7 +63,7 @@
 	return &engineWatch{ctx: ctx, client: engine.NewClient(), post: post, active: map[core.WatchedEngine]context.CancelFunc{}}
 }
 
-// set starts and ends watches so that exactly these engines are heard.
+// set starts and stops watches so that exactly the given engines are polled.
 func (w *engineWatch) set(engines []core.WatchedEngine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -79,19 +79,19 @@
 		}
 		ctx, cancel := context.WithCancel(w.ctx)
 		w.active[e] = cancel
-		w.repeat(ctx, eventsEvery, w.events(e))
+		w.repeat(ctx, evictionsInterval, w.evictions(e))
 		if e.Load {
-			w.repeat(ctx, loadEvery, w.load(e))
+			w.repeat(ctx, loadInterval, w.load(e))
 		}
 	}
 }
 
-// repeat calls f at once and then at every interval until ctx ends.
-func (w *engineWatch) repeat(ctx context.Context, every time.Duration, f func(context.Context)) {
+// repeat calls f immediately and then once per interval until ctx is done.
+func (w *engineWatch) repeat(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
-		ticker := time.NewTicker(every)
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			f(ctx)
@@ -112,7 +112,7 @@
 	}
 }
 
-func (w *engineWatch) events(e core.WatchedEngine) func(context.Context) {
+func (w *engineWatch) evictions(e core.WatchedEngine) func(context.Context) {
 	after := uint64(0)
 	return func(ctx context.Context) {
 		ev, err := w.client.Evictions(ctx, e.Addr, after)
--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -153,7 +153,7 @@
 	if tier == nil {
 		return core.Submit{}, fault.New(fault.UnknownTier, "tier %q has no record", tierName)
 	}
-	if !h.workspace.Grants(tier.Name) {
+	if !h.workspace.AllowsTier(tier.Name) {
 		return core.Submit{}, fault.New(fault.TierNotGranted, "workspace %s is not granted tier %s", h.workspace.Name, tier.Name)
 	}
 	if f := s.needTicket(h); f != nil {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,6 +1,6 @@
-// Package gossip carries heartbeats, and questions for places with their answers, between hosts as datagrams,
-// and news on request over HTTP. A heartbeat that is lost is replaced by the next one; a question that is not
-// answered leaves its asker to decide alone; news are large and rare.
+// Package gossip carries heartbeats and slot requests with their responses between hosts as datagrams, and
+// updates on request over HTTP. A lost heartbeat is replaced by the next one; a host whose slot request gets no
+// response decides alone; updates are large and rare.
 package gossip
 
 import (
@@ -30,9 +30,9 @@
 const (
 	// maxDatagram is the largest UDP payload.
 	maxDatagram = 65507
-	// pullTimeout bounds a question for news, dialling included.
+	// pullTimeout limits a pull, including dialling.
 	pullTimeout = time.Second
-	newsPath    = "/news"
+	updatesPath = "/news"
 )
 
 // Socket sends and receives datagrams between hosts. All hosts use the same port. One goroutine may send,
@@ -40,27 +40,27 @@
 type Socket struct {
 	conn *net.UDPConn
 	port uint16
-	// addrs are the addresses of hosts by IP number, and names the reverse, so that no datagram makes them
-	// anew; addrs is the sender's, names the receiver's.
+	// addrs caches the socket addresses of hosts by IP address, and ips the reverse. addrs is used by the sending
+	// goroutine only, ips by the receiving one.
 	addrs map[string]netip.AddrPort
-	names map[netip.Addr]string
-	// out is where datagrams are encoded.
-	out []byte
+	ips   map[netip.Addr]string
+	// buf is the reused encoding buffer.
+	buf []byte
 }
 
-// Listen opens the datagram port at an IP number.
+// Listen opens a UDP socket at an IP address and port.
 func Listen(ip string, port int) (*Socket, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ip), Port: port})
 	if err != nil {
 		return nil, trace.Wrap(err, "open datagram port %d; free it or give another in the settings", port)
 	}
-	return &Socket{conn: c, port: uint16(port), addrs: map[string]netip.AddrPort{}, names: map[netip.Addr]string{}}, nil
+	return &Socket{conn: c, port: uint16(port), addrs: map[string]netip.AddrPort{}, ips: map[netip.Addr]string{}}, nil
 }
 
-// Send writes one datagram to each host and returns its size in bytes. Errors are the caller's to count: a
-// host that is gone makes one now and then.
+// Send sends a datagram to each host and returns its size in bytes, the number of failed sends and the last error.
+// Hosts that have left cause occasional errors.
 func (s *Socket) Send(to []string, p *gossippb.Packet) (size, failed int, err error) {
-	s.out, err = proto.MarshalOptions{}.MarshalAppend(s.out[:0], p)
+	s.buf, err = proto.MarshalOptions{}.MarshalAppend(s.buf[:0], p)
 	if err != nil {
 		return 0, len(to), trace.Wrap(err)
 	}
@@ -70,46 +70,46 @@
 			err = trace.Wrap(e)
 		}
 	}
-	return len(s.out), failed, err
+	return len(s.buf), failed, err
 }
 
 func (s *Socket) write(ip string) error {
 	addr, ok := s.addrs[ip]
 	if !ok {
 		var err error
-		if addr, err = s.parse(ip); err != nil {
+		if addr, err = s.addrOf(ip); err != nil {
 			return err
 		}
 		s.addrs[ip] = addr
 	}
-	_, err := s.conn.WriteToUDPAddrPort(s.out, addr)
+	_, err := s.conn.WriteToUDPAddrPort(s.buf, addr)
 	return err
 }
 
-// parse is a host's address by its IP number.
-func (s *Socket) parse(ip string) (netip.AddrPort, error) {
+// addrOf returns a host's socket address.
+func (s *Socket) addrOf(ip string) (netip.AddrPort, error) {
 	addr, err := netip.ParseAddr(ip)
 	return netip.AddrPortFrom(addr, s.port), err
 }
 
-// name is the IP number of a sender.
-func (s *Socket) name(from netip.Addr) string {
-	name, ok := s.names[from]
+// ipOf returns the IP address of a sender as text.
+func (s *Socket) ipOf(from netip.Addr) string {
+	ip, ok := s.ips[from]
 	if !ok {
-		name = from.Unmap().String()
-		if len(s.names) < maxNames {
-			s.names[from] = name
+		ip = from.Unmap().String()
+		if len(s.ips) < maxKnownSenders {
+			s.ips[from] = ip
 		}
 	}
-	return name
+	return ip
 }
 
-// maxNames bounds the senders whose IP numbers are kept; anybody can send a datagram.
-const maxNames = 4096
+// maxKnownSenders limits the cache of senders' addresses, since anyone can send a datagram.
+const maxKnownSenders = 4096
 
-// Receive passes datagrams on until the socket closes, with the sender's IP number and the size in bytes.
-// What is none of this project's is counted as malformed.
-func (s *Socket) Receive(heard func(from string, p *gossippb.Packet, size int), malformed func()) {
+// Receive passes datagrams to handle until the socket is closed, with the sender's IP address and the size in
+// bytes. It calls malformed for datagrams that cannot be decoded or have a wrong sender.
+func (s *Socket) Receive(handle func(from string, p *gossippb.Packet, size int), malformed func()) {
 	buf := make([]byte, maxDatagram)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
@@ -117,71 +117,71 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an ICMP answer of a host that is gone
+			continue // an ICMP error from a host that has left
 		}
-		p, name := &gossippb.Packet{}, s.name(from.Addr())
-		if proto.Unmarshal(buf[:n], p) != nil || (p.Beat != nil && p.Beat.Host != name) {
+		p, sender := &gossippb.Packet{}, s.ipOf(from.Addr())
+		if proto.Unmarshal(buf[:n], p) != nil || (p.Beat != nil && p.Beat.Host != sender) {
 			malformed()
 			continue
 		}
-		heard(name, p, n)
+		handle(sender, p, n)
 	}
 }
 
 // Close ends Receive.
 func (s *Socket) Close() error { return trace.Wrap(s.conn.Close()) }
 
-// Source is the host that answers questions for news.
+// Source provides a host's state for other hosts.
 type Source interface {
-	// Snapshot is what the host knows beyond what the asker has; ok is false where its control thread
-	// does not answer.
+	// Snapshot returns the state that the requesting host lacks. ok is false if the control thread does not
+	// respond.
 	Snapshot(since router.Since) (n router.Update, ok bool)
 }
 
-// Handler answers questions for news.
+// Handler serves a host's state to other hosts.
 func Handler(s Source) http.Handler {
-	last := &lastNews{}
+	cache := &responseCache{}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+newsPath, func(w http.ResponseWriter, r *http.Request) {
-		since, err := readSince(r.URL.Query())
+	mux.HandleFunc("GET "+updatesPath, func(w http.ResponseWriter, r *http.Request) {
+		since, err := parseSince(r.URL.Query())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		body, err := last.body(since, time.Now(), s)
+		body, err := cache.body(since, time.Now(), s)
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		writeNews(w, body, strings.Contains(r.Header.Get("Accept-Encoding"), gzipEncoding))
+		writeUpdate(w, body, strings.Contains(r.Header.Get("Accept-Encoding"), gzipEncoding))
 	})
 	return mux
 }
 
-// lastFor is how long an answer is given again to the same question. After a start of all hosts a hundred ask
-// the few that know the configuration, all for everything, and a small host would encode it a hundred times.
-// What is new meanwhile the asker hears of in the next beat.
-const lastFor = 100 * time.Millisecond
+// responseTTL is how long a response is reused for identical requests. When all hosts of a fleet start at once, a
+// hundred of them request everything from the few that have the configuration, and a small host would encode it a
+// hundred times. Later changes reach the requesting host with the next heartbeat.
+const responseTTL = 100 * time.Millisecond
 
-// lastNews is the latest answer, compressed.
-type lastNews struct {
+// responseCache holds the latest response.
+type responseCache struct {
 	mu     sync.Mutex
 	since  router.Since
 	at     time.Time
 	zipped []byte
 }
 
-// body is the answer to a question, compressed.
-func (l *lastNews) body(since router.Since, now time.Time, s Source) ([]byte, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.zipped != nil && l.since == since && now.Sub(l.at) < lastFor {
-		return l.zipped, nil
+// body returns the gzip-compressed response to a request.
+func (c *responseCache) body(since router.Since, now time.Time, s Source) ([]byte, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.zipped != nil && c.since == since && now.Sub(c.at) < responseTTL {
+		return c.zipped, nil
 	}
 	n, ok := s.Snapshot(since)
 	if !ok {
-		return nil, trace.ConnectionProblem(nil, "the control thread does not answer; ask another host")
+		return nil, trace.ConnectionProblem(nil, "the control thread does not respond; ask another host")
 	}
 	var buf bytes.Buffer
 	z, _ := gzip.NewWriterLevel(&buf, gzip.BestSpeed) // the only error is an unknown level
@@ -191,8 +191,8 @@
 	if err := z.Close(); err != nil {
 		return nil, trace.Wrap(err)
 	}
-	l.since, l.at, l.zipped = since, now, buf.Bytes()
-	return l.zipped, nil
+	c.since, c.at, c.zipped = since, now, buf.Bytes()
+	return c.zipped, nil
 }
 
 const (
@@ -202,25 +202,25 @@
 	gzipEncoding  = "gzip"
 )
 
-func readSince(q url.Values) (router.Since, error) {
+func parseSince(q url.Values) (router.Since, error) {
 	var since router.Since
-	for name, into := range map[string]*uint64{revisionParam: &since.Revision.Number, eraParam: &since.Revision.Era, versionParam: &since.Version} {
+	for name, target := range map[string]*uint64{revisionParam: &since.Revision.Number, eraParam: &since.Revision.Era, versionParam: &since.Version} {
 		if name == eraParam && !q.Has(name) {
-			continue // the first, as hosts that know no eras ask
+			continue // era 0: hosts of earlier builds do not send the parameter
 		}
 		n, err := strconv.ParseUint(q.Get(name), 10, 64)
 		if err != nil {
 			return router.Since{}, trace.BadParameter("%s is not a number", name)
 		}
-		*into = n
+		*target = n
 	}
 	return since, nil
 }
 
-// writeNews sends news, compressed where the asker takes that: a configuration shrinks to a tenth, and
-// small hosts have 10 Mbit/s for all who ask at once. An error is the asker's: it hears less than
-// whole JSON and asks again.
-func writeNews(w http.ResponseWriter, zipped []byte, compress bool) {
+// writeUpdate writes a response, compressed if the client accepts that: compression reduces a configuration to a
+// tenth, and small hosts have 10 Mbit/s for all clients together. Write errors are ignored: the client gets
+// incomplete JSON and tries again.
+func writeUpdate(w http.ResponseWriter, zipped []byte, compress bool) {
 	if compress {
 		w.Header().Set("Content-Encoding", gzipEncoding)
 		_, _ = w.Write(zipped)
@@ -234,35 +234,35 @@
 	_, _ = io.Copy(w, z)
 }
 
-// Puller asks hosts for news.
+// Puller requests updates from other hosts.
 type Puller struct {
 	http *http.Client
 	port int
 }
 
-// NewPuller returns a client of the hosts' news at a port.
+// NewPuller returns a Puller that contacts all hosts at the given port.
 func NewPuller(port int) *Puller {
 	t := &http.Transport{DialContext: upstream.Dialer(pullTimeout).DialContext, DisableKeepAlives: true}
 	return &Puller{http: &http.Client{Transport: t, Timeout: pullTimeout}, port: port}
 }
 
-// Pull reads what a host knows beyond what this one has.
+// Pull requests from a host the state that this one lacks.
 func (p *Puller) Pull(ctx context.Context, host string, since router.Since) (router.Update, error) {
 	var n router.Update
 	q := url.Values{revisionParam: {strconv.FormatUint(since.Revision.Number, 10)}, eraParam: {strconv.FormatUint(since.Revision.Era, 10)},
 		versionParam: {strconv.FormatUint(since.Version, 10)}}
-	u := url.URL{Scheme: "http", Host: net.JoinHostPort(host, strconv.Itoa(p.port)), Path: newsPath, RawQuery: q.Encode()}
+	u := url.URL{Scheme: "http", Host: net.JoinHostPort(host, strconv.Itoa(p.port)), Path: updatesPath, RawQuery: q.Encode()}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
 		return n, trace.Wrap(err)
 	}
 	resp, err := p.http.Do(req)
 	if err != nil {
-		return n, trace.ConnectionProblem(err, "host %s gave no news", host)
+		return n, trace.ConnectionProblem(err, "host %s did not respond to a pull", host)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return n, trace.ConnectionProblem(nil, "host %s answered %s to a question for news", host, resp.Status)
+		return n, trace.ConnectionProblem(nil, "host %s answered a pull with %s", host, resp.Status)
 	}
 	return n, trace.Wrap(json.NewDecoder(resp.Body).Decode(&n))
 }
--- a/internal/gossip/kind.go
+++ b/internal/gossip/kind.go
@@ -2,7 +2,7 @@
 
 import "fireflyshift/internal/gossip/gossippb"
 
-// What a datagram may carry, as counters name it.
+// Kinds of datagrams, as they appear in the names of counters.
 const (
 	kindBeat      = "beat"
 	kindAsk       = "ask"
@@ -15,10 +15,10 @@
 	kindEmpty     = "empty"
 )
 
-// Kinds are all that Kind returns.
+// Kinds lists all values that Kind returns.
 var Kinds = []string{kindBeat, kindAsk, kindOffer, kindReport, kindOccupancy, kindRelay, kindCharge, kindCharged, kindEmpty}
 
-// Kind names what a datagram carries, for counters.
+// Kind returns the kind of a datagram for the names of counters.
 func Kind(p *gossippb.Packet) string {
 	switch {
 	case p.Beat != nil:
--- a/internal/gossip/news_test.go
+++ b/internal/gossip/news_test.go
@@ -15,16 +15,16 @@
 	"fireflyshift/internal/routing"
 )
 
-// asked counts the questions that reach the control thread.
-type asked struct {
-	times    int
-	revision uint64
-	silent   bool
+// fakeSource counts the calls that reach the control thread.
+type fakeSource struct {
+	calls       int
+	revision    uint64
+	unavailable bool
 }
 
-func (a *asked) Snapshot(router.Since) (router.Update, bool) {
-	a.times++
-	return router.Update{Revision: routing.Revision{Number: a.revision}}, !a.silent
+func (s *fakeSource) Snapshot(router.Since) (router.Update, bool) {
+	s.calls++
+	return router.Update{Revision: routing.Revision{Number: s.revision}}, !s.unavailable
 }
 
 func revisionIn(t *testing.T, zipped []byte) uint64 {
@@ -35,40 +35,40 @@
 	return n.Revision.Number
 }
 
-// All hosts of a fleet start at once and ask the few that know the configuration for everything. A small
-// host that encoded the same answer a hundred times took seconds, while callers were refused. It is encoded
-// once; later questions, and other ones, get a fresh one.
+// All hosts of a fleet start at once and request everything from the few that have the configuration. Guards against a small
+// host that encodes the same response a hundred times, which took seconds during which callers were refused. It must
+// encode it once; later and different requests must get a new one.
 func TestSameQuestionIsEncodedOnce(t *testing.T) {
-	src, last, at := &asked{revision: 7}, &lastNews{}, time.Unix(100, 0)
+	src, cache, at := &fakeSource{revision: 7}, &responseCache{}, time.Unix(100, 0)
 	for range 100 {
-		body, err := last.body(router.Since{}, at, src)
+		body, err := cache.body(router.Since{}, at, src)
 		require.NoError(t, err)
 		require.EqualValues(t, 7, revisionIn(t, body))
 	}
-	require.Equal(t, 1, src.times)
+	require.Equal(t, 1, src.calls)
 	src.revision = 8
-	body, err := last.body(router.Since{Revision: routing.Revision{Number: 3}}, at, src)
+	body, err := cache.body(router.Since{Revision: routing.Revision{Number: 3}}, at, src)
 	require.NoError(t, err)
-	require.EqualValues(t, 8, revisionIn(t, body), "another question")
+	require.EqualValues(t, 8, revisionIn(t, body), "another request")
 	src.revision = 9
-	body, err = last.body(router.Since{Revision: routing.Revision{Number: 3}}, at.Add(lastFor), src)
+	body, err = cache.body(router.Since{Revision: routing.Revision{Number: 3}}, at.Add(responseTTL), src)
 	require.NoError(t, err)
-	require.EqualValues(t, 9, revisionIn(t, body), "too old")
+	require.EqualValues(t, 9, revisionIn(t, body), "expired")
 }
 
-// The control thread does not answer in time. The asker must not take an empty answer for news.
+// The control thread does not respond in time. The client must get an error, not an empty update.
 func TestSilentControlThreadIsNoNews(t *testing.T) {
-	h := Handler(&asked{silent: true})
+	h := Handler(&fakeSource{unavailable: true})
 	w := httptest.NewRecorder()
-	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, newsPath+"?revision=0&version=0", nil))
+	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, updatesPath+"?revision=0&version=0", nil))
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
 }
 
-// An asker that takes no compressed answers gets plain ones.
+// A client that does not accept compressed responses must get uncompressed ones.
 func TestNewsAreReadableEitherWay(t *testing.T) {
-	h := Handler(&asked{revision: 5})
+	h := Handler(&fakeSource{revision: 5})
 	for _, encoding := range []string{"", gzipEncoding} {
-		req := httptest.NewRequest(http.MethodGet, newsPath+"?revision=0&version=0", nil)
+		req := httptest.NewRequest(http.MethodGet, updatesPath+"?revision=0&version=0", nil)
 		req.Header.Set("Accept-Encoding", encoding)
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, req)
--- a/internal/gossip/pacer.go
+++ b/internal/gossip/pacer.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// paceShare is the part of the host's link that paced datagrams may fill: callers' answers need the rest.
-	paceShare = 0.3
-	// paceStep is how much is sent at once.
-	paceStep = 16 << 10
-	// paceQueue bounds the datagrams that wait, each to many hosts. What is told later replaces what is dropped.
-	paceQueue = 64
+	// pacedLinkShare is the share of the host's link that paced datagrams may use. Callers' responses need the rest.
+	pacedLinkShare = 0.3
+	// burstBytes is how much is sent between two pauses.
+	burstBytes = 16 << 10
+	// maxQueued limits the queued datagrams, each to many hosts. Dropped ones are replaced by later reports.
+	maxQueued = 64
 )
 
-// Pacer sends datagrams that go to many hosts at a part of the link's speed. Sent at once, a zone's sum to a hundred hosts overflows
-// a small host's link, and always the last of them miss it.
+// Pacer limits the rate of datagrams to many hosts to a share of the link's speed. A zone summary sent to a hundred hosts at once
+// overflows a small host's link, and always the last receivers miss it.
 type Pacer struct {
 	socket *Socket
-	// bytesPerSecond is zero where the link's speed is not known.
+	// bytesPerSecond is zero if the link's speed is unknown.
 	bytesPerSecond float64
 	queue          chan fanOut
 }
@@ -33,15 +33,17 @@
 	data []byte
 }
 
-// NewPacer returns a pacer over a socket; a link speed of zero is unknown, and paces nothing.
+// NewPacer returns a pacer for a socket. With a link speed of zero (unknown), nothing is paced.
 func NewPacer(s *Socket, linkMbps float64) *Pacer {
-	return &Pacer{socket: s, bytesPerSecond: linkMbps * 1e6 / 8 * paceShare, queue: make(chan fanOut, paceQueue)}
+	return &Pacer{socket: s, bytesPerSecond: linkMbps * 1e6 / 8 * pacedLinkShare, queue: make(chan fanOut, maxQueued)}
 }
 
-// Paces tells whether a datagram of some size to so many hosts is to be paced.
-func (p *Pacer) Paces(hosts, size int) bool { return p.bytesPerSecond > 0 && hosts*size > paceStep }
+// ShouldPace reports whether a datagram of the given size to that many hosts has to be paced.
+func (p *Pacer) ShouldPace(hosts, size int) bool {
+	return p.bytesPerSecond > 0 && hosts*size > burstBytes
+}
 
-// Send lets a datagram wait its turn; false where too many wait.
+// Send queues a datagram. It returns false if the queue is full.
 func (p *Pacer) Send(to []string, packet *gossippb.Packet) bool {
 	data, err := proto.Marshal(packet)
 	if err != nil {
@@ -55,7 +57,7 @@
 	}
 }
 
-// Run sends until ctx ends. failed hears of hosts that could not be sent to.
+// Run sends queued datagrams until ctx is done. It calls failed for each host that cannot be sent to.
 func (p *Pacer) Run(ctx context.Context, failed func(error)) {
 	sent := 0
 	for {
@@ -67,7 +69,7 @@
 				if err := p.socket.writeTo(ip, f.data); err != nil {
 					failed(err)
 				}
-				if sent += len(f.data); sent >= paceStep {
+				if sent += len(f.data); sent >= burstBytes {
 					timing.Sleep(ctx, time.Duration(float64(sent)/p.bytesPerSecond*float64(time.Second)))
 					sent = 0
 				}
@@ -76,9 +78,9 @@
 	}
 }
 
-// writeTo sends a datagram beside Send.
+// writeTo sends an encoded datagram to one host. Unlike Send, it may run concurrently with Send.
 func (s *Socket) writeTo(ip string, data []byte) error {
-	addr, err := s.parse(ip)
+	addr, err := s.addrOf(ip)
 	if err != nil {
 		return err
 	}
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -5,25 +5,25 @@
 	"fireflyshift/internal/router"
 )
 
-// operators is what operators see of the host; it implements admin.Source.
-type operators struct {
+// adminSource implements admin.Source with the state of a host.
+type adminSource struct {
 	node  *Node
 	trail func(id string) []core.TraceEvent
 }
 
 // Ready implements admin.Source.
-func (o operators) Ready() bool { return o.node.ready() }
+func (o adminSource) Ready() bool { return o.node.ready() }
 
-// Healthy implements admin.Source: the control thread answers.
-func (o operators) Healthy() bool { return o.node.control.ask(func(*router.Router) {}) }
+// Healthy implements admin.Source. It reports whether the control thread responds.
+func (o adminSource) Healthy() bool { return o.node.control.query(func(*router.Router) {}) }
 
 // Explain implements admin.Source.
-func (o operators) Explain(id string) ([]core.TraceEvent, bool) { return o.trail(id), true }
+func (o adminSource) Explain(id string) ([]core.TraceEvent, bool) { return o.trail(id), true }
 
 // Status implements admin.Source.
-func (o operators) Status() (core.Status, bool) {
+func (o adminSource) Status() (core.Status, bool) {
 	var v router.View
-	if !o.node.control.ask(func(r *router.Router) { v = r.View() }) {
+	if !o.node.control.query(func(r *router.Router) { v = r.View() }) {
 		return core.Status{}, false
 	}
 	s := core.Status{Host: o.node.set.Name, Zone: o.node.set.Zone, Ready: v.Ready, Draining: v.Draining, UptimeMS: v.Now.Milliseconds(),
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -16,48 +16,48 @@
 )
 
 const (
-	// tickEvery paces heartbeats and the ends of waits.
-	tickEvery = 25 * time.Millisecond
-	// queueLength bounds events that wait for the control thread; traffic waits when it is full.
+	// tickInterval is the resolution of heartbeats and of timeouts of waiting requests.
+	tickInterval = 25 * time.Millisecond
+	// queueLength limits the events queued for the control thread. Request goroutines block while the queue is full.
 	queueLength  = 4096
 	queryTimeout = time.Second
 )
 
-// outlets carry out the effects that leave the host. They must not block.
-type outlets struct {
-	send func(to []string, p *gossippb.Packet)
-	pull func(p router.Pull)
-	read func(on, shared bool)
-	drop func(addr string)
-	// check posts a Checked event.
-	check func(c router.Probe)
+// effectHandlers perform the effects that leave the host. They must not block.
+type effectHandlers struct {
+	send      func(to []string, p *gossippb.Packet)
+	pull      func(p router.Pull)
+	readStore func(on, shared bool)
+	dropConns func(addr string)
+	// probe posts a ProbeResult event.
+	probe func(c router.Probe)
 }
 
-// control is the one thread that owns the reducer.
+// control is the control thread, a single goroutine that owns the reducer.
 type control struct {
 	router  *router.Router
 	clock   *timing.BootClock
-	out     outlets
+	out     effectHandlers
 	log     zerolog.Logger
 	metrics telemetry.Metrics
 	queue   chan any
-	// callers are the traffic side's channels, by request.
+	// callers holds the effect channels of the gateway's requests, by request ID.
 	callers map[uint64]gateway.Caller
 	table   atomic.Pointer[routing.Table]
-	// configured is closed with the first configuration.
+	// configured is closed when the first configuration is activated.
 	configured chan struct{}
 	ready      atomic.Bool
 	draining   atomic.Bool
 	suspects   atomic.Bool
 }
 
-// submission is a request with the channel for its effects.
+// submission is a request together with the channel for its effects.
 type submission struct {
 	router.Submit
 	caller gateway.Caller
 }
 
-// query runs a function on the control thread.
+// query is a function to be run on the control thread.
 type query struct {
 	run  func(*router.Router)
 	done chan struct{}
@@ -68,42 +68,42 @@
 		queue: make(chan any, queueLength), callers: map[uint64]gateway.Caller{}, configured: make(chan struct{})}
 }
 
-// run handles events until ctx ends.
+// run handles events until ctx is done.
 func (c *control) run(ctx context.Context) {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	c.step(router.Tick{})
+	c.reduce(router.Tick{})
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.step(router.Tick{})
+			c.reduce(router.Tick{})
 		case ev := <-c.queue:
-			c.take(ev)
+			c.handle(ev)
 		}
 	}
 }
 
-func (c *control) take(ev any) {
+func (c *control) handle(ev any) {
 	switch e := ev.(type) {
 	case submission:
 		c.callers[e.ID] = e.caller
-		c.step(e.Submit)
+		c.reduce(e.Submit)
 	case query:
 		e.run(c.router)
 		close(e.done)
 	case router.Event:
-		c.step(e)
+		c.reduce(e)
 		if end, ok := e.(router.DispatchEnded); ok && (end.Outcome == router.Answered || end.Outcome == router.Canceled) {
 			delete(c.callers, end.ID)
 		}
 	}
 }
 
-func (c *control) step(ev router.Event) {
+func (c *control) reduce(ev router.Event) {
 	for _, eff := range c.router.Reduce(c.clock.Now(), ev) {
-		c.carryOut(eff)
+		c.execute(eff)
 	}
 	for _, v := range c.router.Violations() {
 		c.metrics.Count("invariant.violations", 1)
@@ -113,46 +113,46 @@
 	c.suspects.Store(c.router.Suspects())
 }
 
-func (c *control) carryOut(eff router.Effect) {
+func (c *control) execute(eff router.Effect) {
 	switch e := eff.(type) {
 	case router.Dispatch:
-		c.toCaller(e.ID, e)
+		c.notifyCaller(e.ID, e)
 	case router.Abort:
 		if caller, ok := c.callers[e.ID]; ok {
 			caller.Abort(e.Attempt)
 		}
 	case router.StallDecision:
-		c.toCaller(e.ID, e)
+		c.notifyCaller(e.ID, e)
 	case router.Refuse:
-		c.toCaller(e.ID, e)
+		c.notifyCaller(e.ID, e)
 		delete(c.callers, e.ID)
 	case router.GiveUp:
-		c.toCaller(e.ID, e)
+		c.notifyCaller(e.ID, e)
 		delete(c.callers, e.ID)
 	case router.SendHeartbeat:
 		c.out.send(e.To, &gossippb.Packet{Beat: e.Heartbeat})
 	case router.Send:
 		c.out.send(e.To, e.Packet)
 	case router.ReadStore:
-		c.out.read(e.On, e.Shared)
+		c.out.readStore(e.On, e.Shared)
 	case router.Pull:
 		c.out.pull(e)
 	case router.ConfigActivated:
 		if c.table.Swap(e.Table) == nil {
 			close(c.configured)
 		}
-		c.log.Info().Uint64("version", e.Table.Config.Version).Int("routes", len(e.Table.Config.Routes)).Msg("Configuration in force.")
+		c.log.Info().Uint64("version", e.Table.Config.Version).Int("routes", len(e.Table.Config.Routes)).Msg("Configuration activated.")
 	case router.BackendGone:
-		c.out.drop(e.Backend.Addr)
+		c.out.dropConns(e.Backend.Addr)
 	case router.Probe:
-		c.out.check(e)
+		c.out.probe(e)
 	case router.Note:
 		c.metrics.Count("beliefs.changed", 1)
-		c.log.Info().Str("what", e.What).Str("subject", e.Subject).Str("detail", e.Detail).Int64("age_ms", e.Age.Milliseconds()).Msg("Belief changed.")
+		c.log.Info().Str("what", e.What).Str("subject", e.Subject).Str("detail", e.Detail).Int64("age_ms", e.Age.Milliseconds()).Msg("Cluster state changed.")
 	}
 }
 
-func (c *control) toCaller(id uint64, e router.Effect) {
+func (c *control) notifyCaller(id uint64, e router.Effect) {
 	caller, ok := c.callers[id]
 	if !ok {
 		return
@@ -160,7 +160,7 @@
 	select {
 	case caller.Effects <- e:
 	default:
-		c.log.Error().Uint64("request", id).Msg("A request did not take its effects.")
+		c.log.Error().Uint64("request", id).Msg("Effect dropped: the request's channel is full.")
 	}
 }
 
@@ -187,8 +187,8 @@
 // Suspects implements gateway.Control.
 func (c *control) Suspects() bool { return c.suspects.Load() }
 
-// ask runs f on the control thread and reports whether it was run in time.
-func (c *control) ask(f func(*router.Router)) bool {
+// query runs f on the control thread and reports whether it ran within queryTimeout.
+func (c *control) query(f func(*router.Router)) bool {
 	q := query{f, make(chan struct{})}
 	timer := time.NewTimer(queryTimeout)
 	defer timer.Stop()
@@ -208,6 +208,6 @@
 // Snapshot implements gossip.Source.
 func (c *control) Snapshot(since router.Since) (router.Update, bool) {
 	var n router.Update
-	ok := c.ask(func(r *router.Router) { n = r.Snapshot(since) })
+	ok := c.query(func(r *router.Router) { n = r.Snapshot(since) })
 	return n, ok
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -30,29 +30,29 @@
 )
 
 const (
-	// headerTimeout and headerBytes bound a caller's head where no configuration says so yet.
+	// headerTimeout and headerBytes limit request headers until a configuration sets limits.
 	headerTimeout = 10 * time.Second
 	headerBytes   = 64 << 10
-	// memoryShare of the machine's memory is the runtime's soft limit; the rest is for what the
-	// kernel holds unread and for stacks.
-	memoryShare = 0.7
-	// quietFor is how long no connection of a stopping host must have been in use before it ends.
-	quietFor = 400 * time.Millisecond
-	// endMargin before the platform's SIGKILL answers are cut.
-	endMargin = 200 * time.Millisecond
-	// exitMargin before it connections are closed, whatever their callers have read.
-	exitMargin = 80 * time.Millisecond
-	drainPoll  = 50 * time.Millisecond
-	// closeFor is how long a host that ends with time left waits for its callers to see that their connections end.
-	closeFor   = time.Second
-	expireIdle = 500 * time.Millisecond
+	// memoryLimitRatio is the Go runtime's soft memory limit as a share of the host's memory. The rest is for stacks and
+	// for data in the kernel's socket buffers.
+	memoryLimitRatio = 0.7
+	// drainIdleTime is how long no connection must have been in use before a draining host stops.
+	drainIdleTime = 400 * time.Millisecond
+	// shutdownMargin is how long before the platform's SIGKILL responses still in progress are aborted.
+	shutdownMargin = 200 * time.Millisecond
+	// closeMargin is how long before SIGKILL connections are closed, even if callers have not read everything.
+	closeMargin = 80 * time.Millisecond
+	drainPoll   = 50 * time.Millisecond
+	// closeTimeout is how long a host that has finished early waits for callers to notice that their connections are closed.
+	closeTimeout      = time.Second
+	idleCheckInterval = 500 * time.Millisecond
 )
 
-// Parts are what the adapter brings.
-type Parts struct {
+// Dependencies are supplied by the platform's adapter.
+type Dependencies struct {
 	Store Store
 	Wire  gateway.HeaderCodec
-	// Load reads the settings again; Reload is a signal to do it now. Both may be nil.
+	// Load reads the settings again, and Reload requests that immediately. Both may be nil.
 	Load   func() (*Settings, error)
 	Reload <-chan struct{}
 }
@@ -64,29 +64,29 @@
 	log     zerolog.Logger
 	metrics telemetry.Metrics
 	control *control
-	// sent and heard count datagrams and their bytes by what they carry: the control plane's cost apart from
-	// the traffic's.
-	sent, heard traffic
-	pool        *upstream.Pool
-	socket      *gossip.Socket
-	pacer       *gossip.Pacer
-	callers     *http.Server
-	connections *ingress.Connections
-	gateway     *gateway.Gateway
-	others      []*http.Server
+	// sent and received count datagrams and their bytes by kind, to separate the cost of the control plane from that
+	// of callers' traffic.
+	sent, received trafficCounters
+	pool           *upstream.Pool
+	socket         *gossip.Socket
+	pacer          *gossip.Pacer
+	callers        *http.Server
+	connections    *ingress.Connections
+	gateway        *gateway.Gateway
+	auxServers     []*http.Server
 }
 
-// Tune fits the runtime to a small host: one thread of traffic, which spares wake-ups between
-// threads, and a soft memory limit, above which it collects more often.
+// Tune adapts the Go runtime to a small host: a single processor, which avoids wake-ups between threads, and a
+// soft memory limit, above which garbage is collected more often.
 func Tune(set *Settings) {
 	runtime.GOMAXPROCS(1)
 	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(set.MemoryMB) * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(set.MemoryMB) * memoryLimitRatio * (1 << 20)))
 	}
 }
 
-// Run serves until ctx ends, then shuts down within the grace.
-func Run(ctx context.Context, set *Settings, parts Parts, log zerolog.Logger, m telemetry.Metrics) error {
+// Run serves until ctx is done, then shuts down within the grace period.
+func Run(ctx context.Context, set *Settings, deps Dependencies, log zerolog.Logger, m telemetry.Metrics) error {
 	n, err := build(set, log, m)
 	if err != nil {
 		return trace.Wrap(err)
@@ -94,7 +94,7 @@
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	g, _ := errgroup.WithContext(work)
-	if err := n.start(work, g, parts); err != nil {
+	if err := n.start(work, g, deps); err != nil {
 		return trace.Wrap(err)
 	}
 	n.log.Info().Str("host", set.Name).Str("zone", set.Zone).Str("callers", set.Callers).Msg("Serving.")
@@ -120,33 +120,33 @@
 		Host: set.IP, Zone: set.Zone, Regions: set.Regions, Incarnation: binary.BigEndian.Uint64(seed[:8]) | 1, Seeds: set.Seeds,
 		Bounds: set.Bounds, Seed: binary.BigEndian.Uint64(seed[8:]),
 	})
-	n := &Node{set: set, root: log, log: telemetry.For(log, "node"), metrics: m, socket: socket, connections: ingress.New()}
+	n := &Node{set: set, root: log, log: telemetry.ComponentLogger(log, "node"), metrics: m, socket: socket, connections: ingress.New()}
 	n.pacer = gossip.NewPacer(socket, set.LinkMbps)
-	n.sent, n.heard = newTraffic(m, "sent"), newTraffic(m, "heard")
-	n.control = newControl(r, telemetry.For(log, "control"), m)
+	n.sent, n.received = newTraffic(m, "sent"), newTraffic(m, "heard")
+	n.control = newControl(r, telemetry.ComponentLogger(log, "control"), m)
 	n.pool = upstream.NewPool(func() { m.Count("backend.connections", 1) })
 	return n, nil
 }
 
-func (n *Node) start(ctx context.Context, g *errgroup.Group, parts Parts) error {
+func (n *Node) start(ctx context.Context, g *errgroup.Group, deps Dependencies) error {
 	puller := gossip.NewPuller(n.set.PeerPort)
-	reader := &storeReader{store: parts.Store, post: n.control.Post, log: telemetry.For(n.root, "store"), metrics: n.metrics}
+	reader := &storeReader{store: deps.Store, post: n.control.Post, log: telemetry.ComponentLogger(n.root, "store"), metrics: n.metrics}
 	reading := &toggle{ctx: ctx, run: reader.run}
-	n.control.out = outlets{
-		read: reading.set,
-		send: n.send,
-		pull: func(p router.Pull) { go n.pull(ctx, puller, p) },
-		drop: n.pool.CloseIdle,
-		check: func(c router.Probe) {
+	n.control.out = effectHandlers{
+		readStore: reading.set,
+		send:      n.send,
+		pull:      func(p router.Pull) { go n.pull(ctx, puller, p) },
+		dropConns: n.pool.CloseIdle,
+		probe: func(c router.Probe) {
 			go func() {
 				reached, refused := n.pool.Probe(ctx, c.Backend.Addr, c.MaxIdleConns)
 				n.control.Post(router.ProbeResult{ID: c.Backend.ID, Start: c.Backend.Start, Reached: reached, Refused: refused})
 			}()
 		},
 	}
-	n.gateway = gateway.New(n.control, parts.Wire, n.pool, telemetry.For(n.root, "gateway"), n.metrics)
+	n.gateway = gateway.New(n.control, deps.Wire, n.pool, telemetry.ComponentLogger(n.root, "gateway"), n.metrics)
 	n.callers = &http.Server{Handler: n.gateway, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerBytes,
-		ErrorLog: stdlog.New(errorLines{n.log}, "", 0)}
+		ErrorLog: stdlog.New(httpErrorLog{n.log}, "", 0)}
 	n.connections.Guard(n.callers, http.HandlerFunc(n.gateway.RejectShutdown))
 	if err := n.listen(g, n.callers, n.set.Callers, n.connections.Listener); err != nil {
 		return err
@@ -154,29 +154,29 @@
 	if err := n.serve(g, http.HandlerFunc(n.readyz), n.set.Ready); err != nil {
 		return err
 	}
-	ops := admin.Handler(operators{n, n.gateway.History}, n.metrics)
+	ops := admin.Handler(adminSource{n, n.gateway.History}, n.metrics)
 	for _, addr := range []string{n.set.Admin, n.set.Metrics} {
 		if addr == "" {
 			continue
 		}
 		if err := n.serve(g, ops, addr); err != nil {
-			n.log.Error().Err(err).Msg("Operators cannot read this host. It serves callers.")
+			n.log.Error().Err(err).Msg("Admin listener not started. Status and metrics are unavailable; callers are served.")
 		}
 	}
 	if err := n.serve(g, gossip.Handler(n.control), net.JoinHostPort(n.set.IP, strconv.Itoa(n.set.PeerPort))); err != nil {
 		return err
 	}
 	g.Go(func() error { n.control.run(ctx); return nil })
-	g.Go(func() error { n.expire(ctx); return nil })
+	g.Go(func() error { n.closeIdleConns(ctx); return nil })
 	g.Go(func() error {
 		n.pacer.Run(ctx, func(err error) { n.sendFailed(1, err) })
 		return nil
 	})
-	if parts.Load != nil {
-		g.Go(func() error { n.watchSettings(ctx, parts.Load, parts.Reload); return nil })
+	if deps.Load != nil {
+		g.Go(func() error { n.watchSettings(ctx, deps.Load, deps.Reload); return nil })
 	}
 	g.Go(func() error {
-		n.socket.Receive(n.received, func() { n.metrics.Count("datagrams.malformed", 1) })
+		n.socket.Receive(n.handlePacket, func() { n.metrics.Count("datagrams.malformed", 1) })
 		return nil
 	})
 	return nil
@@ -184,7 +184,7 @@
 
 func (n *Node) serve(g *errgroup.Group, h http.Handler, addr string) error {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
-	n.others = append(n.others, s)
+	n.auxServers = append(n.auxServers, s)
 	return n.listen(g, s, addr, func(l net.Listener) net.Listener { return l })
 }
 
@@ -203,18 +203,18 @@
 	return nil
 }
 
-// errorLines takes net/http's own complaints, as of a caller that sent no proper request.
-type errorLines struct{ log zerolog.Logger }
+// httpErrorLog logs net/http's own errors, such as malformed requests.
+type httpErrorLog struct{ log zerolog.Logger }
 
 // Write implements io.Writer.
-func (e errorLines) Write(p []byte) (int, error) {
-	e.log.Info().Str("detail", strings.TrimSpace(string(p))).Msg("A caller's connection failed.")
+func (e httpErrorLog) Write(p []byte) (int, error) {
+	e.log.Info().Str("detail", strings.TrimSpace(string(p))).Msg("Connection of a caller failed.")
 	return len(p), nil
 }
 
 func (n *Node) ready() bool { return n.control.ready.Load() && !n.control.draining.Load() }
 
-// readyz answers the balancer.
+// readyz answers the load balancer's readiness probe.
 func (n *Node) readyz(w http.ResponseWriter, _ *http.Request) {
 	if !n.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -223,10 +223,10 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// send writes a datagram to hosts.
+// send sends a datagram to hosts, paced if it would overload the host's link.
 func (n *Node) send(to []string, p *gossippb.Packet) {
-	if len(to) > fewHosts {
-		if size := proto.Size(p); n.pacer.Paces(len(to), size) {
+	if len(to) > maxUnpacedHosts {
+		if size := proto.Size(p); n.pacer.ShouldPace(len(to), size) {
 			n.sendPaced(to, p, size)
 			return
 		}
@@ -238,7 +238,7 @@
 	}
 }
 
-// sendPaced lets a datagram of some size to many hosts wait its turn.
+// sendPaced queues a datagram to many hosts at the pacer. size is its encoded size in bytes.
 func (n *Node) sendPaced(to []string, p *gossippb.Packet, size int) {
 	if !n.pacer.Send(to, p) {
 		n.metrics.Count("datagrams.dropped", int64(len(to)))
@@ -247,17 +247,17 @@
 	n.sent.add(p, len(to), len(to)*size)
 }
 
-// fewHosts are sent to at once, whatever the size.
-const fewHosts = 8
+// maxUnpacedHosts is the number of receivers up to which datagrams are sent at once whatever their size.
+const maxUnpacedHosts = 8
 
 func (n *Node) sendFailed(datagrams int, err error) {
 	n.metrics.Count("datagrams.failed", int64(datagrams))
-	n.log.Debug().Err(err).Int("failed", datagrams).Msg("Datagrams not sent.")
+	n.log.Debug().Err(err).Int("failed", datagrams).Msg("Sending datagrams failed.")
 }
 
-// received turns a datagram into an event.
-func (n *Node) received(from string, p *gossippb.Packet, size int) {
-	n.heard.add(p, 1, size)
+// handlePacket converts a received datagram into an event.
+func (n *Node) handlePacket(from string, p *gossippb.Packet, size int) {
+	n.received.add(p, 1, size)
 	switch {
 	case p.Beat != nil:
 		n.control.Post(router.HeartbeatReceived{Heartbeat: p.Beat})
@@ -278,20 +278,20 @@
 	}
 }
 
-func (n *Node) pull(ctx context.Context, p *gossip.Puller, ask router.Pull) {
-	news, err := p.Pull(ctx, ask.Host, ask.Since)
+func (n *Node) pull(ctx context.Context, p *gossip.Puller, request router.Pull) {
+	update, err := p.Pull(ctx, request.Host, request.Since)
 	if err != nil {
-		n.log.Warn().Err(err).Str("from", ask.Host).Msg("No news from a peer.")
+		n.log.Warn().Err(err).Str("from", request.Host).Msg("Reading updates from a peer failed.")
 		return
 	}
-	n.log.Info().Str("from", ask.Host).Stringer("after", ask.Revision).Stringer("revision", news.Revision).
-		Int("backends", len(news.Backends)).Bool("config", news.Config != nil).Msg("News from a peer.")
-	news.FromStore, news.Full, news.From = false, false, ask.Host
-	n.control.Post(news)
+	n.log.Info().Str("from", request.Host).Stringer("after", request.Revision).Stringer("revision", update.Revision).
+		Int("backends", len(update.Backends)).Bool("config", update.Config != nil).Msg("Updates received from a peer.")
+	update.FromStore, update.Full, update.From = false, false, request.Host
+	n.control.Post(update)
 }
 
-func (n *Node) expire(ctx context.Context) {
-	t := time.NewTicker(expireIdle)
+func (n *Node) closeIdleConns(ctx context.Context) {
+	t := time.NewTicker(idleCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -306,36 +306,36 @@
 	}
 }
 
-// drain is the graceful shutdown: out of the balancer at once, answers with 'Connection: close',
-// and an end when no connection is in use any more, at the latest just before the platform's SIGKILL.
+// drain shuts down gracefully: the readiness probe fails at once, responses have 'Connection: close', and the host
+// stops when no connection is in use any more, at the latest just before the platform's SIGKILL.
 func (n *Node) drain() {
 	n.log.Info().Dur("grace", n.set.Grace).Msg("Stopping.")
 	n.control.draining.Store(true)
 	began := time.Now()
-	n.control.Post(router.Drain{Until: n.control.Now() + n.set.Grace - endMargin, Grace: n.set.Grace - endMargin})
-	quietSince := began
-	for time.Since(began) < n.set.Grace-endMargin {
+	n.control.Post(router.Drain{Until: n.control.Now() + n.set.Grace - shutdownMargin, Grace: n.set.Grace - shutdownMargin})
+	idleSince := began
+	for time.Since(began) < n.set.Grace-shutdownMargin {
 		time.Sleep(drainPoll)
 		if n.connections.InUse() > 0 {
-			quietSince = time.Now()
+			idleSince = time.Now()
 		}
-		if time.Since(began) > n.set.Notice && time.Since(quietSince) > quietFor && n.connections.TryStop() {
-			n.log.Info().Dur("after_ms", time.Since(began)).Msg("No request is in hand. No more are taken.")
+		if time.Since(began) > n.set.BalancerDelay && time.Since(idleSince) > drainIdleTime && n.connections.TryStop() {
+			n.log.Info().Dur("after_ms", time.Since(began)).Msg("Drained. No more requests are accepted.")
 			return
 		}
 	}
-	n.log.Warn().Int("in_use", n.connections.InUse()).Msg("The grace is over. Answers are cut.")
+	n.log.Warn().Int("in_use", n.connections.InUse()).Msg("Grace period over. Responses in progress are aborted.")
 	n.gateway.Shutdown()
 }
 
-// close ends all connections; killAt is when the platform kills the process.
+// close closes all connections. killAt is when the platform kills the process.
 func (n *Node) close(killAt time.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), min(closeFor, time.Until(killAt)-exitMargin))
+	ctx, cancel := context.WithTimeout(context.Background(), min(closeTimeout, time.Until(killAt)-closeMargin))
 	defer cancel()
 	cut := n.connections.Close(ctx)
 	_ = n.callers.Close()
 	n.log.Info().Int("cut", cut).Int("notified", n.connections.Notified()).Msg("Connections closed.")
-	for _, s := range n.others {
+	for _, s := range n.auxServers {
 		_ = s.Close()
 	}
 	_ = n.socket.Close()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -8,46 +8,46 @@
 	"fireflyshift/internal/router"
 )
 
-// reloadEvery is how often the settings file is read again: it may change without a signal.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often the settings file is read again, as it may change without a signal.
+const reloadInterval = 2 * time.Second
 
-// watchSettings takes changed settings, at a signal and every reloadEvery. A bad file leaves the
-// settings in force.
+// watchSettings applies changed settings, at a signal and every reloadInterval. An invalid file leaves the
+// current settings in use.
 func (n *Node) watchSettings(ctx context.Context, load func() (*Settings, error), signal <-chan struct{}) {
-	t := time.NewTicker(reloadEvery)
+	t := time.NewTicker(reloadInterval)
 	defer t.Stop()
-	current, bad := *n.set, ""
+	current, lastErr := *n.set, ""
 	for {
-		asked := false
+		signaled := false
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
 		case <-signal:
-			asked = true
+			signaled = true
 		}
 		next, err := load()
 		if err != nil {
-			if asked || err.Error() != bad {
-				n.log.Error().Err(err).Msg("Settings refused. The last ones stay in force.")
+			if signaled || err.Error() != lastErr {
+				n.log.Error().Err(err).Msg("Settings refused. The previous ones stay in use.")
 			}
-			bad = err.Error()
+			lastErr = err.Error()
 			continue
 		}
-		bad = ""
+		lastErr = ""
 		if reflect.DeepEqual(*next, current) {
-			if asked {
+			if signaled {
 				n.log.Info().Msg("Settings read again. Nothing has changed.")
 			}
 			continue
 		}
-		n.log.Info().Bool("signal", asked).Bool("restart_needed", needsRestart(&current, next)).Msg("Settings changed.")
+		n.log.Info().Bool("signal", signaled).Bool("restart_needed", needsRestart(&current, next)).Msg("Settings changed.")
 		current = *next
 		n.control.Post(router.SettingsChanged{Seeds: next.Seeds, Bounds: next.Bounds})
 	}
 }
 
-// needsRestart tells whether a change cannot be taken by a running process: its addresses and place.
+// needsRestart reports whether a change takes effect only after a restart. Only seeds and bounds can change at run time.
 func needsRestart(a, b *Settings) bool {
 	x, y := *a, *b
 	x.Seeds, y.Seeds = nil, nil
--- a/internal/node/settings.go
+++ b/internal/node/settings.go
@@ -1,5 +1,5 @@
-// Package node is one host on the platform's path: the control thread around the reducer, the
-// reading of the store, the listeners, start and stop. It wires; decisions are the reducer's.
+// Package node runs one host on the platform: the control thread around the reducer, the store
+// reader, the listeners, start and shutdown. All scheduling decisions are made by the reducer.
 package node
 
 import (
@@ -8,26 +8,27 @@
 	"fireflyshift/internal/router"
 )
 
-// Settings are the checked settings of a host on the platform.
+// Settings are the validated settings of a host on the platform.
 type Settings struct {
 	Name     string
 	IP       string
 	Zone     string
-	Regions  map[string]string // of all availability zones
-	Callers  string            // address for callers
-	Ready    string            // address for the balancer's question
-	Admin    string            // address for operators; empty where none is given
-	Metrics  string            // address for metrics; empty for none
-	PeerPort int               // for links between hosts, the same on all
+	Regions  map[string]string // regions by availability zone
+	Callers  string            // listen address for callers
+	Ready    string            // listen address for the load balancer's readiness probe
+	Admin    string            // listen address for operators; empty for none
+	Metrics  string            // listen address for metrics; empty for none
+	PeerPort int               // port for traffic between hosts, the same on all hosts
 	Seeds    []string
 	Store    string
 	MemoryMB int
-	// LinkMbps is the speed of the host's link; zero where unknown.
+	// LinkMbps is the speed of the host's network link in Mbit/s; zero if unknown.
 	LinkMbps float64
 	Cores    int
 	// Grace is the time between SIGTERM and SIGKILL.
 	Grace time.Duration
-	// Notice is how long a stopping host stays at least, until the balancer knows.
-	Notice time.Duration
-	Bounds router.Bounds
+	// BalancerDelay is the minimum time for which a stopping host keeps serving, until the load balancer has noticed that
+	// it is not ready.
+	BalancerDelay time.Duration
+	Bounds        router.Bounds
 }
--- a/internal/node/store.go
+++ b/internal/node/store.go
@@ -15,49 +15,49 @@
 	"fireflyshift/internal/timing"
 )
 
-// Listing is what the platform's store says: everything at once, or what has changed.
+// Listing is the content of the platform's store, or the changes since a revision.
 type Listing struct {
 	routing.Changes
-	// AsOf is the store's revision; a watch goes on from it.
+	// AsOf is the store's revision, from which a watch can continue.
 	AsOf routing.Revision
-	// Old tells that the store has changed since, so that a watch from there answers at once.
-	Old bool
+	// Stale reports that the store has changed since AsOf, so that a watch from there returns at once.
+	Stale bool
 }
 
-// Store is the platform's metadata store, which can only be read.
+// Store reads the platform's metadata store.
 type Store interface {
-	// List reads all. Unless fresh, backend servers may be some seconds old, as AsOf tells, which costs less; a watch from there
-	// tells what has changed since.
+	// List reads everything. Unless fresh is set, backend servers may be some seconds stale, which costs less. A watch from AsOf
+	// returns what has changed since.
 	List(ctx context.Context, fresh bool) (Listing, error)
-	// Watch waits for changes after a revision's number. The answer may be of another era.
+	// Watch waits for changes after a revision number. The result may belong to another era.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Listing, error)
-	// Compacted tells that a watch failed because its history is gone.
+	// Compacted reports whether a watch failed because the store has compacted the history.
 	Compacted(err error) bool
 }
 
 const (
-	// watchWait is how long a watch stays open, and watchSpread the random part: a watch whose
-	// answer was lost hears nothing more, and hosts that watch at unlike times still hear of each
-	// other what one of them missed.
+	// watchWait is how long a watch stays open; watchSpread is a random addition. A watch whose response was lost
+	// returns nothing more. Since hosts watch at different times, they still get from each other what one of
+	// them missed.
 	watchWait   = 2 * time.Second
 	watchSpread = 1 * time.Second
-	// sharedWait, sharedSpread and sharedPause hold where few hosts read for many: the others rely on
-	// their being in contact, so that silence must show soon.
+	// sharedWait, sharedSpread and sharedPause apply if few hosts read the store for many: the others depend on
+	// their contact with the store, so that its loss must be noticed soon.
 	sharedWait   = 1200 * time.Millisecond
 	sharedSpread = 300 * time.Millisecond
 	sharedPause  = 600 * time.Millisecond
-	// retryFirst to retryMost pace the calls to a store that fails.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// watchPause spaces the calls of a busy watch: each is paid for.
+	// minRetryDelay and maxRetryDelay limit the back-off between calls to a failing store.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 800 * time.Millisecond
+	// watchPause is the pause between the calls of a busy watch, since each call is charged.
 	watchPause = 40 * time.Millisecond
 )
 
-// errOtherEra tells that the store has come back from an older copy while a watch waited: what it says of changes since a
-// revision of before leaves out what was lost.
-var errOtherEra = errors.New("the store is in another era than the listing")
+// errEraChanged reports that the store was restored from an older copy while a watch was open. The changes that it returns since
+// a revision of the previous era do not include the lost writes.
+var errEraChanged = errors.New("the store is in another era than the listing")
 
-// storeReader keeps the reducer told of what the store says.
+// storeReader reads the store and posts its changes to the reducer.
 type storeReader struct {
 	store   Store
 	post    func(router.Event)
@@ -65,16 +65,16 @@
 	metrics telemetry.Metrics
 }
 
-// toggle starts and stops the reading.
+// toggle starts and stops a background reader.
 type toggle struct {
 	ctx context.Context
 	run func(ctx context.Context, shared *atomic.Bool)
-	// shared tells a reading that goes on whether other hosts rely on it.
+	// shared informs a running reader whether other hosts depend on it.
 	shared atomic.Bool
 	cancel context.CancelFunc
 }
 
-// set is called by the control thread only. A reading that goes on is not begun anew: its listing is the dearest part of it.
+// set must only be called by the control thread. It does not restart a running reader, as the listing is its most expensive part.
 func (t *toggle) set(on, shared bool) {
 	t.shared.Store(shared)
 	if on == (t.cancel != nil) {
@@ -90,95 +90,95 @@
 	go t.run(ctx, &t.shared)
 }
 
-// run lists and then watches, until ctx ends.
+// run lists and then watches the store, until ctx is done.
 func (s *storeReader) run(ctx context.Context, shared *atomic.Bool) {
-	pause, fresh := retryFirst, false
+	pause, fresh := minRetryDelay, false
 	for ctx.Err() == nil {
-		err := s.follow(ctx, shared, fresh, func() { pause = retryFirst })
+		err := s.listAndWatch(ctx, shared, fresh, func() { pause = minRetryDelay })
 		if ctx.Err() != nil {
 			return
 		}
 		s.metrics.Count("store.failures", 1)
-		s.log.Warn().Err(err).Dur("pause", pause).Msg("The store gave no news.")
-		again := s.outdated(err)
+		s.log.Warn().Err(err).Dur("pause", pause).Msg("Reading the store failed.")
+		again := s.needsRelist(err)
 		s.post(router.StoreStatus{OK: again})
-		fresh = again // what is some seconds old may be older than the history that is left
+		fresh = again // a listing that is some seconds stale may be older than the remaining history
 		if again {
 			continue
 		}
 		timing.Sleep(ctx, pause/2+time.Duration(rand.Int64N(int64(pause))))
-		pause = min(retryMost, pause*2)
+		pause = min(maxRetryDelay, pause*2)
 	}
 }
 
-// follow lists once and watches from there until a call fails. A failed watch leads to a new
-// listing: the store may have changed meanwhile in a way that a watch no longer tells.
-func (s *storeReader) follow(ctx context.Context, shared *atomic.Bool, fresh bool, worked func()) error {
+// listAndWatch lists once and watches from there until a call fails. A failed watch requires a new listing, since
+// the store may have changed in a way that a later watch does not report.
+func (s *storeReader) listAndWatch(ctx context.Context, shared *atomic.Bool, fresh bool, onListed func()) error {
 	s.metrics.Count("store.calls", 2)
-	all, err := s.store.List(ctx, fresh)
+	listing, err := s.store.List(ctx, fresh)
 	if err != nil {
 		return err
 	}
-	worked()
-	held := all.Old
-	if !held {
-		s.postListing(all)
+	onListed()
+	pending := listing.Stale
+	if !pending {
+		s.postListing(listing)
 	}
-	after := all.AsOf
+	after := listing.AsOf
 	for first := true; ctx.Err() == nil; first = false {
 		s.metrics.Count("store.calls", 1)
-		atLeast, spread, between := watchWait, watchSpread, watchPause
-		if first || shared.Load() { // others may begin to rely on a host that has just started
-			atLeast, spread, between = sharedWait, sharedSpread, sharedPause
+		minWait, spread, pause := watchWait, watchSpread, watchPause
+		if first || shared.Load() { // other hosts may soon depend on a host that has just started
+			minWait, spread, pause = sharedWait, sharedSpread, sharedPause
 		}
-		wait := atLeast + time.Duration(rand.Int64N(int64(spread)))
+		wait := minWait + time.Duration(rand.Int64N(int64(spread)))
 		l, err := s.store.Watch(ctx, after.Number, wait)
 		if err == nil && l.AsOf.Era != after.Era {
-			err = errOtherEra
+			err = errEraChanged
 		}
 		if err != nil {
-			if held && ctx.Err() == nil && !s.outdated(err) {
-				s.postListing(all) // the store is away: an old listing serves better than none
+			if pending && ctx.Err() == nil && !s.needsRelist(err) {
+				s.postListing(listing) // the store is unavailable, and a stale listing is better than none
 			}
 			return err
 		}
-		if held {
-			held = false
-			s.postListing(upToDate(all, l))
+		if pending {
+			pending = false
+			s.postListing(mergeListing(listing, l))
 		} else {
-			s.post(router.Update{Changes: l.Changes, After: after, AsOf: l.AsOf, Revision: revisionOf(l.Changes), FromStore: true})
+			s.post(router.Update{Changes: l.Changes, After: after, AsOf: l.AsOf, Revision: latestRevision(l.Changes), FromStore: true})
 		}
 		after = routing.Latest(after, l.AsOf)
 		if len(l.Backends) > 0 || len(l.Evacuations) > 0 || l.Config != nil {
-			timing.Sleep(ctx, between)
+			timing.Sleep(ctx, pause)
 		}
 	}
 	return nil
 }
 
 func (s *storeReader) postListing(l Listing) {
-	s.post(router.Update{Changes: l.Changes, Full: true, AsOf: l.AsOf, Revision: revisionOf(l.Changes), FromStore: true})
+	s.post(router.Update{Changes: l.Changes, Full: true, AsOf: l.AsOf, Revision: latestRevision(l.Changes), FromStore: true})
 }
 
-// outdated tells that a watch failed because what was listed before says too little of the store as it is now.
-func (s *storeReader) outdated(err error) bool {
-	return s.store.Compacted(err) || errors.Is(err, errOtherEra)
+// needsRelist reports whether a watch failed because the previous listing is of no use any more.
+func (s *storeReader) needsRelist(err error) bool {
+	return s.store.Compacted(err) || errors.Is(err, errEraChanged)
 }
 
-// upToDate is a listing with what has changed since, in the order of the changes.
-func upToDate(all, since Listing) Listing {
-	all.Backends = append(all.Backends, since.Backends...)
-	all.Evacuations = append(all.Evacuations, since.Evacuations...)
-	if since.Config != nil {
-		all.Config = since.Config
+// mergeListing appends later changes to a listing, in the order of the changes.
+func mergeListing(listing, changes Listing) Listing {
+	listing.Backends = append(listing.Backends, changes.Backends...)
+	listing.Evacuations = append(listing.Evacuations, changes.Evacuations...)
+	if changes.Config != nil {
+		listing.Config = changes.Config
 	}
-	all.AsOf, all.Old = since.AsOf, false
-	return all
+	listing.AsOf, listing.Stale = changes.AsOf, false
+	return listing
 }
 
-// revisionOf is the highest revision among changes. The store's own revision also moves for keys
-// that hosts do not follow, and would make hosts look unlike that know the same.
-func revisionOf(c routing.Changes) routing.Revision {
+// latestRevision returns the highest revision among changes. The store's own revision also grows with keys that
+// hosts do not read, so hosts with the same data would differ in it.
+func latestRevision(c routing.Changes) routing.Revision {
 	var rev routing.Revision
 	for _, b := range c.Backends {
 		rev = routing.Latest(rev, b.Revision)
--- a/internal/node/store_test.go
+++ b/internal/node/store_test.go
@@ -15,20 +15,20 @@
 	"fireflyshift/internal/telemetry"
 )
 
-// returning is a store that comes back from an older copy while a watch waits, and answers the watch all the same.
-type returning struct {
+// restoredStore is a store that is restored from an older copy while a watch is open, and returns changes all the same.
+type restoredStore struct {
 	lists, watches int
 	stop           context.CancelFunc
 }
 
 // List implements Store.
-func (s *returning) List(context.Context, bool) (Listing, error) {
+func (s *restoredStore) List(context.Context, bool) (Listing, error) {
 	s.lists++
 	return Listing{AsOf: routing.Revision{Era: uint64(s.lists), Number: 100}}, nil
 }
 
 // Watch implements Store.
-func (s *returning) Watch(context.Context, uint64, time.Duration) (Listing, error) {
+func (s *restoredStore) Watch(context.Context, uint64, time.Duration) (Listing, error) {
 	if s.watches++; s.lists == 1 && s.watches < 5 {
 		return Listing{AsOf: routing.Revision{Era: 2, Number: 120}}, nil
 	}
@@ -37,13 +37,13 @@
 }
 
 // Compacted implements Store.
-func (s *returning) Compacted(error) bool { return false }
+func (s *restoredStore) Compacted(error) bool { return false }
 
-// A watch is answered in another era than its listing: the answer has the changes since a revision of something else, and lacks
-// what the store has lost. It is not taken; all is read anew, at once and once, and the store counts as one that answers.
+// A watch returns changes of another era than its listing, which do not include the writes that the store has lost. They must not
+// be applied; the store must be listed again once without delay, and must count as available.
 func TestWatchOfAnotherEraLeadsToAListing(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
-	s := &returning{stop: stop}
+	s := &restoredStore{stop: stop}
 	var posted []router.Event
 	reader := &storeReader{store: s, post: func(e router.Event) { posted = append(posted, e) }, log: zerolog.Nop(), metrics: telemetry.NewMetrics()}
 	reader.run(ctx, new(atomic.Bool))
@@ -60,36 +60,36 @@
 	require.Equal(t, []routing.Revision{{Era: 1, Number: 100}, {Era: 2, Number: 100}}, asOf)
 }
 
-// lagging is a store whose listing is some seconds old and whose watch fails.
-type lagging struct {
+// staleStore is a store whose listing is some seconds stale and whose watch fails.
+type staleStore struct {
 	compacted bool
 	fresh     []bool
 	stop      context.CancelFunc
 }
 
 // List implements Store.
-func (s *lagging) List(_ context.Context, fresh bool) (Listing, error) {
+func (s *staleStore) List(_ context.Context, fresh bool) (Listing, error) {
 	if s.fresh = append(s.fresh, fresh); len(s.fresh) == 2 {
 		s.stop()
 		return Listing{}, errors.New("stopped")
 	}
-	return Listing{AsOf: routing.Revision{Number: 100}, Old: true}, nil
+	return Listing{AsOf: routing.Revision{Number: 100}, Stale: true}, nil
 }
 
 // Watch implements Store.
-func (s *lagging) Watch(context.Context, uint64, time.Duration) (Listing, error) {
+func (s *staleStore) Watch(context.Context, uint64, time.Duration) (Listing, error) {
 	return Listing{}, errors.New("failed")
 }
 
 // Compacted implements Store.
-func (s *lagging) Compacted(error) bool { return s.compacted }
+func (s *staleStore) Compacted(error) bool { return s.compacted }
 
-// Guards against a host that knows nothing as the store fails right after an old listing, and against one that goes by such a listing
-// though the store says that too much has changed since.
+// Guards against a host that discards a stale listing although the store fails right after it, and against one that uses it although
+// the store has compacted the history since.
 func TestOldListingIsUsedOnlyWhereTheStoreIsAway(t *testing.T) {
 	for _, compacted := range []bool{false, true} {
 		ctx, stop := context.WithCancel(t.Context())
-		s := &lagging{compacted: compacted, stop: stop}
+		s := &staleStore{compacted: compacted, stop: stop}
 		listed := 0
 		reader := &storeReader{store: s, log: zerolog.Nop(), metrics: telemetry.NewMetrics(), post: func(e router.Event) {
 			if _, ok := e.(router.Update); ok {
--- a/internal/node/toggle_test.go
+++ b/internal/node/toggle_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a host that lists the whole store anew as it learns that others rely on its reading.
+// Guards against a host that lists the whole store again when other hosts start to depend on its reader.
 func TestReadingGoesOnAsItBecomesShared(t *testing.T) {
 	type reading struct {
 		ctx    context.Context
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -8,21 +8,21 @@
 	"fireflyshift/internal/telemetry"
 )
 
-// traffic counts datagrams and their bytes by what they carry.
-type traffic map[string]tally
+// trafficCounters counts datagrams and their bytes by kind.
+type trafficCounters map[string]counters
 
-type tally struct{ datagrams, bytes gometrics.Counter }
+type counters struct{ datagrams, bytes gometrics.Counter }
 
-// newTraffic names the counters datagrams.DIRECTION.KIND and datagrams.DIRECTION_bytes.KIND.
-func newTraffic(m telemetry.Metrics, direction string) traffic {
-	t := traffic{}
+// newTraffic registers the counters datagrams.DIRECTION.KIND and datagrams.DIRECTION_bytes.KIND.
+func newTraffic(m telemetry.Metrics, direction string) trafficCounters {
+	t := trafficCounters{}
 	for _, kind := range gossip.Kinds {
-		t[kind] = tally{m.Counter("datagrams." + direction + "." + kind), m.Counter("datagrams." + direction + "_bytes." + kind)}
+		t[kind] = counters{m.Counter("datagrams." + direction + "." + kind), m.Counter("datagrams." + direction + "_bytes." + kind)}
 	}
 	return t
 }
 
-func (t traffic) add(p *gossippb.Packet, datagrams, bytes int) {
+func (t trafficCounters) add(p *gossippb.Packet, datagrams, bytes int) {
 	c := t[gossip.Kind(p)]
 	c.datagrams.Inc(int64(datagrams))
 	c.bytes.Inc(int64(bytes))
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between hosts over gRPC. It knows nothing of what they mean.
-// Messages to a host go on one stream that this host dials; they are coalesced into batches, and
-// dropped when a queue is full: every message of the protocol is repeated or repaired if lost.
+// Package peer transports messages between hosts over gRPC without interpreting them. Messages to a host go
+// on one stream that this host dials. They are coalesced into batches and dropped when a queue is full: the
+// protocol repeats every lost message or repairs its effects.
 package peer
 
 import (
@@ -18,59 +18,59 @@
 )
 
 const (
-	queueLength   = 8192
-	maxBatch      = 512
-	redialFirst   = 50 * time.Millisecond
-	redialMost    = time.Second
-	dialTimeout   = 2 * time.Second
-	keepaliveTime = 10 * time.Second
-	maxMessage    = 4 << 20
-	// idleClose ends links that nothing uses, as those to schedulers of other zones.
-	idleClose = 30 * time.Second
+	queueLength    = 8192
+	maxBatch       = 512
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = time.Second
+	dialTimeout    = 2 * time.Second
+	keepaliveTime  = 10 * time.Second
+	maxMessage     = 4 << 20
+	// idleTimeout closes unused links, such as those to schedulers of other zones.
+	idleTimeout = 30 * time.Second
 )
 
-// Counter counts bytes and messages; the daemon passes metrics in.
+// Counter is a metric that the daemon passes in.
 type Counter interface{ Inc(int64) }
 
-// Counters are what a Sender reports.
+// Counters are the metrics of a Sender.
 type Counters struct {
 	SentMessages, SentBytes, Dropped Counter
 }
 
-// Sender keeps a link to each host that messages go to.
+// Sender sends messages over one link per receiving host.
 type Sender struct {
 	ctx    context.Context
 	self   *peerpb.Sender
 	creds  credentials.TransportCredentials
 	routes map[string]string
-	opened func(host string)
+	onOpen func(host string)
 	count  Counters
 	mu     sync.Mutex
 	links  map[string]*link
 	wg     sync.WaitGroup
-	// closing is closed, and closed set, when no more messages are taken.
+	// closing is closed, and closed set, when no more messages are accepted.
 	closing chan struct{}
 	closed  bool
 }
 
-// Options of a Sender.
+// Options configure a Sender.
 type Options struct {
 	Self  *peerpb.Sender
 	Creds credentials.TransportCredentials
-	// Routes gives other addresses to dial hosts at than they advertise.
+	// Routes overrides the advertised addresses of hosts, by host ID.
 	Routes map[string]string
 	Count  Counters
-	// Opened is called each time that a link is open anew.
+	// Opened is called each time a link has been opened or reopened.
 	Opened func(host string)
 }
 
-// NewSender returns a sender whose links end with ctx.
+// NewSender returns a Sender whose links are closed when ctx is done.
 func NewSender(ctx context.Context, o Options) *Sender {
-	return &Sender{ctx: ctx, self: o.Self, creds: o.Creds, routes: o.Routes, opened: o.Opened, count: o.Count, links: map[string]*link{},
+	return &Sender{ctx: ctx, self: o.Self, creds: o.Creds, routes: o.Routes, onOpen: o.Opened, count: o.Count, links: map[string]*link{},
 		closing: make(chan struct{})}
 }
 
-// Send queues a message. It never blocks: the control thread calls it.
+// Send queues a message. It never blocks, since the control thread calls it.
 func (s *Sender) Send(to member.Host, m *peerpb.Message) {
 	l := s.linkTo(to)
 	if l == nil {
@@ -84,7 +84,7 @@
 	}
 }
 
-// linkTo is nil once the sender closes.
+// linkTo returns the link to a host, opened if necessary, or nil once the sender is closing.
 func (s *Sender) linkTo(to member.Host) *link {
 	if other, ok := s.routes[to.ID]; ok {
 		to.Addr = other
@@ -99,7 +99,7 @@
 		return l
 	}
 	if ok {
-		l.cancel() // the host was replaced at another address
+		l.cancel() // the host has moved to another address
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
 	l = &link{sender: s, host: to.ID, addr: to.Addr, queue: make(chan *peerpb.Message, queueLength), cancel: cancel}
@@ -112,8 +112,8 @@
 	return l
 }
 
-// drop forgets a link that closed by itself.
-func (s *Sender) drop(l *link) {
+// removeLink removes a link that has ended by itself.
+func (s *Sender) removeLink(l *link) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.links[l.host] == l {
@@ -121,7 +121,7 @@
 	}
 }
 
-// Close takes no more messages, and returns when the other hosts have those that wait on open links, or with ctx.
+// Close accepts no more messages. It returns when the other hosts have received those queued on open links, or when ctx is done.
 func (s *Sender) Close(ctx context.Context) {
 	s.mu.Lock()
 	if !s.closed {
@@ -129,18 +129,18 @@
 		close(s.closing)
 	}
 	s.mu.Unlock()
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		s.wg.Wait()
-		close(ended)
+		close(done)
 	}()
 	select {
-	case <-ended:
+	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-// Wait returns when all links have ended; the context given to NewSender ends them.
+// Wait blocks until all links have ended, which the context given to NewSender triggers.
 func (s *Sender) Wait() { s.wg.Wait() }
 
 // link is the outgoing stream to one host.
@@ -154,11 +154,11 @@
 
 func (l *link) run(ctx context.Context) {
 	defer l.cancel()
-	defer l.sender.drop(l)
+	defer l.sender.removeLink(l)
 	conn, err := grpc.NewClient("passthrough:///"+l.addr,
 		grpc.WithTransportCredentials(l.sender.creds),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: redialFirst, Multiplier: 2, Jitter: 0.2, MaxDelay: redialMost},
+			Backoff:           backoff.Config{BaseDelay: minRedialDelay, Multiplier: 2, Jitter: 0.2, MaxDelay: maxRedialDelay},
 			MinConnectTimeout: dialTimeout,
 		}),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: 2 * time.Second}),
@@ -167,16 +167,16 @@
 		return
 	}
 	defer conn.Close()
-	wait := redialFirst
+	wait := minRedialDelay
 	for ctx.Err() == nil {
 		idle, used := l.stream(ctx, conn)
 		if idle {
 			return
 		}
 		if used {
-			wait = redialFirst
+			wait = minRedialDelay
 		} else {
-			l.forget()
+			l.dropQueued()
 		}
 		select {
 		case <-ctx.Done():
@@ -184,14 +184,13 @@
 			return
 		case <-time.After(wait):
 		}
-		wait = min(2*wait, redialMost)
+		wait = min(2*wait, maxRedialDelay)
 	}
 }
 
-// forget drops what waits for a host that cannot be reached. Sent after a long cut, it would be
-// questions and answers of the past, all at once; what still matters is asked again by LinkOpened
-// and by digests.
-func (l *link) forget() {
+// dropQueued drops the messages queued for an unreachable host. After a long outage they would arrive all at once and
+// outdated. What still matters is sent again after LinkOpened and through digests.
+func (l *link) dropQueued() {
 	for {
 		select {
 		case <-l.queue:
@@ -202,7 +201,8 @@
 	}
 }
 
-// stream sends until an error or until the link is idle; used tells that it was open for a while.
+// stream opens a stream and sends until an error, until the link is idle, or until the sender closes. idle reports that
+// the link is to end, used that the stream was open.
 func (l *link) stream(ctx context.Context, conn *grpc.ClientConn) (idle, used bool) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -213,8 +213,8 @@
 	if err := st.Send(&peerpb.Batch{From: l.sender.self}); err != nil {
 		return false, false
 	}
-	l.sender.opened(l.host)
-	timer := time.NewTimer(idleClose)
+	l.sender.onOpen(l.host)
+	timer := time.NewTimer(idleTimeout)
 	defer timer.Stop()
 	for {
 		select {
@@ -224,20 +224,20 @@
 			_, _ = st.CloseAndRecv()
 			return true, true
 		case <-l.sender.closing:
-			l.finish(st)
+			l.flush(st)
 			return true, true
 		case m := <-l.queue:
 			batch := l.coalesce(m)
 			if err := st.Send(batch); err != nil {
 				return false, true
 			}
-			timer.Reset(idleClose)
+			timer.Reset(idleTimeout)
 		}
 	}
 }
 
-// finish sends what waits and returns when the other host has it.
-func (l *link) finish(st grpc.ClientStreamingClient[peerpb.Batch, peerpb.LinkClosed]) {
+// flush sends the queued messages and returns when the other host has received them.
+func (l *link) flush(st grpc.ClientStreamingClient[peerpb.Batch, peerpb.LinkClosed]) {
 	for len(l.queue) > 0 {
 		if err := st.Send(l.coalesce(<-l.queue)); err != nil {
 			return
@@ -246,7 +246,7 @@
 	_, _ = st.CloseAndRecv()
 }
 
-// coalesce takes what else waits, so that a burst costs one write.
+// coalesce batches a message with those queued behind it, so that a burst costs one write.
 func (l *link) coalesce(first *peerpb.Message) *peerpb.Batch {
 	b := &peerpb.Batch{Messages: []*peerpb.Message{first}}
 	for len(b.Messages) < maxBatch {
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -14,22 +14,22 @@
 	"fireflyshift/internal/telemetry"
 )
 
-// counting is a host that counts the messages that it gets.
-type counting struct{ got int }
+// countingReceiver counts the messages that it receives.
+type countingReceiver struct{ received int }
 
-func (*counting) Linked(member.Host, uint64) {}
-func (*counting) Unlinked(string, uint64)    {}
-func (c *counting) Message(string, uint64, *peerpb.Message) {
+func (*countingReceiver) Linked(member.Host, uint64) {}
+func (*countingReceiver) Unlinked(string, uint64)    {}
+func (c *countingReceiver) Message(string, uint64, *peerpb.Message) {
 	time.Sleep(time.Millisecond) // slower than the sender
-	c.got++
+	c.received++
 }
 
-// Guards against a host that ends before others have heard how its requests ended: the tickets of work that never ran would
-// stay claimed.
+// Guards against a host that exits before it has reported the outcomes of its requests to others: tickets of work that never
+// ran would stay claimed.
 func TestCloseSendsWhatWaits(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	to, m := &counting{}, telemetry.NewMetrics()
+	to, m := &countingReceiver{}, telemetry.NewMetrics()
 	server := NewServer(insecure.NewCredentials(), to, m.Counter("received"))
 	go func() { _ = server.Serve(l) }()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -45,8 +45,8 @@
 	s.Close(closing)
 	require.NoError(t, closing.Err())
 	cancel()
-	server.Stop() // returns when no link is served any more
-	require.Equal(t, messages, to.got)
+	server.Stop() // returns when all links have ended
+	require.Equal(t, messages, to.received)
 	s.Send(member.Host{ID: "a3", Addr: l.Addr().String()}, &peerpb.Message{})
 	s.Wait()
 }
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -16,26 +16,26 @@
 	"fireflyshift/internal/peer/peerpb"
 )
 
-// frameOverhead is what gRPC and HTTP/2 add to a message: a 5-byte prefix and a 9-byte frame header.
+// frameOverhead is the number of bytes that gRPC and HTTP/2 add to a message: a 5-byte prefix and a 9-byte frame header.
 const frameOverhead = 14
 
 func sizeOf(b *peerpb.Batch) int { return proto.Size(b) + frameOverhead }
 
-// Receiver takes what comes from other hosts. Its methods may block: that slows the sender down.
+// Receiver handles what other hosts send. Its methods may block, which slows the sender down through flow control.
 type Receiver interface {
 	Linked(h member.Host, incarnation uint64)
 	Unlinked(host string, incarnation uint64)
 	Message(from string, incarnation uint64, m *peerpb.Message)
 }
 
-// Server is the serving side of the links.
+// Server implements the receiving side of links.
 type Server struct {
 	peerpb.UnimplementedPeerServer
-	to    Receiver
-	count Counter
+	receiver Receiver
+	count    Counter
 }
 
-// NewServer returns a gRPC server that passes messages on and counts their bytes.
+// NewServer returns a gRPC server that passes messages to a Receiver and counts their bytes.
 func NewServer(creds credentials.TransportCredentials, to Receiver, received Counter) *grpc.Server {
 	s := grpc.NewServer(
 		grpc.Creds(creds),
@@ -44,11 +44,11 @@
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveTime / 2, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: 2 * time.Second}),
 	)
-	peerpb.RegisterPeerServer(s, &Server{to: to, count: received})
+	peerpb.RegisterPeerServer(s, &Server{receiver: to, count: received})
 	return s
 }
 
-// Link serves one incoming stream. The first batch has to name the sender.
+// Link serves one incoming stream. The first batch must identify the sender.
 func (s *Server) Link(st grpc.ClientStreamingServer[peerpb.Batch, peerpb.LinkClosed]) error {
 	first, err := st.Recv()
 	if err != nil {
@@ -56,10 +56,10 @@
 	}
 	from := first.GetFrom()
 	if from.GetHost() == "" || from.GetIncarnation() == 0 {
-		return status.Error(codes.InvalidArgument, "the first batch names no sender; use the same protocol version")
+		return status.Error(codes.InvalidArgument, "the first batch does not identify the sender; use the same protocol version")
 	}
-	s.to.Linked(member.Host{ID: from.Host, Zone: from.Zone, Addr: from.Addr}, from.Incarnation)
-	defer s.to.Unlinked(from.Host, from.Incarnation)
+	s.receiver.Linked(member.Host{ID: from.Host, Zone: from.Zone, Addr: from.Addr}, from.Incarnation)
+	defer s.receiver.Unlinked(from.Host, from.Incarnation)
 	for {
 		b, err := st.Recv()
 		if errors.Is(err, io.EOF) {
@@ -70,7 +70,7 @@
 		}
 		s.count.Inc(int64(sizeOf(b)))
 		for _, m := range b.Messages {
-			s.to.Message(from.Host, from.Incarnation, m)
+			s.receiver.Message(from.Host, from.Incarnation, m)
 		}
 	}
 }
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -12,8 +12,8 @@
 	"fireflyshift/internal/fault"
 )
 
-// Credentials returns those for serving and for dialing. With no files, links are not encrypted.
-// With files both sides prove themselves: a peer without a certificate of the root gets nothing.
+// Credentials returns the transport credentials for serving and dialing. Without files, links are not encrypted.
+// With files, both sides authenticate with certificates signed by the root.
 func Credentials(cert, key, root string) (server, client credentials.TransportCredentials, err error) {
 	if cert == "" {
 		return insecure.NewCredentials(), insecure.NewCredentials(), nil
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,4 +1,4 @@
-// Package telemetry sets up logs, metrics and traces, which are seen from outside the process.
+// Package telemetry provides the process's logs, metrics and traces.
 package telemetry
 
 import (
@@ -10,21 +10,21 @@
 	"github.com/rs/zerolog/diode"
 )
 
-const partField = "part"
+const componentField = "part"
 
-// timeFormat tells milliseconds apart: what a request waited for is a matter of tens of them.
+// timeFormat has milliseconds, because waiting times of requests are in the order of tens of milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func init() { zerolog.TimeFieldFormat = timeFormat }
 
-// NewLogger returns the root logger, in text or JSON lines, and what writes the last of them out. It never makes the
-// caller wait; see bounded.
+// NewLogger returns the root logger, which writes text or JSON lines, and a function that flushes it. Logging never
+// blocks; see nonBlocking.
 func NewLogger(w io.Writer, level string, json bool, m Metrics) (zerolog.Logger, func()) {
-	dw, flush := bounded(w, m)
+	dw, flush := nonBlocking(w, m)
 	if !json {
 		dw = zerolog.ConsoleWriter{Out: dw, NoColor: true, TimeFormat: time.RFC3339Nano,
-			PartsOrder:    []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, partField, zerolog.MessageFieldName},
-			FieldsExclude: []string{partField},
+			PartsOrder:    []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, componentField, zerolog.MessageFieldName},
+			FieldsExclude: []string{componentField},
 			FormatPartValueByName: func(value any, _ string) string {
 				return fmt.Sprintf("%v:", value)
 			},
@@ -37,36 +37,36 @@
 	return zerolog.New(dw).Level(l).With().Timestamp().Logger().Sample(sampler(m)), flush
 }
 
-// For returns the logger of one part; every line begins with the part's prefix.
-func For(root zerolog.Logger, part string) zerolog.Logger {
-	return root.Hook(prefixHook(part))
+// ComponentLogger returns the logger of one component, which adds the component's name to every line.
+func ComponentLogger(root zerolog.Logger, component string) zerolog.Logger {
+	return root.Hook(componentHook(component))
 }
 
-type prefixHook string
+type componentHook string
 
-// Run adds the part: in text a prefix of the sentence, in JSON a field.
-func (p prefixHook) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
-	e.Str(partField, string(p))
+// Run implements zerolog.Hook. It adds the component as a field in JSON lines, and as a prefix of the message in text.
+func (p componentHook) Run(e *zerolog.Event, _ zerolog.Level, _ string) {
+	e.Str(componentField, string(p))
 }
 
 const (
-	// logBuffer is how many lines may wait for a slow reader; later ones push the oldest out.
+	// logBuffer is the number of lines that are buffered for a slow reader. Later lines displace the oldest.
 	logBuffer = 4096
-	// burstLines a burstPeriod are written of the lines below a warning; the rest are counted.
-	burstLines  = 400
-	burstPeriod = time.Second
+	// sampleBurst is the number of information lines written per samplePeriod. Further ones are only counted.
+	sampleBurst  = 400
+	samplePeriod = time.Second
 )
 
-// bounded passes lines on without ever making the caller wait: those that the reader does not take in time are
-// dropped, and counted in "log.dropped".
-func bounded(w io.Writer, m Metrics) (io.Writer, func()) {
+// nonBlocking returns a writer that never blocks and a function that flushes it. Lines that the reader does not consume
+// in time are dropped and counted in "log.dropped".
+func nonBlocking(w io.Writer, m Metrics) (io.Writer, func()) {
 	dw := diode.NewWriter(w, logBuffer, 0, func(missed int) { m.Count("log.dropped", int64(missed)) })
 	return dw, func() { _ = dw.Close() }
 }
 
-// sampler counts information lines beyond a rate in "log.sampled" instead of writing them.
+// sampler drops information lines beyond a rate and counts them in "log.sampled".
 func sampler(m Metrics) zerolog.Sampler {
-	return zerolog.LevelSampler{InfoSampler: &zerolog.BurstSampler{Burst: burstLines, Period: burstPeriod, NextSampler: countingSampler{m}}}
+	return zerolog.LevelSampler{InfoSampler: &zerolog.BurstSampler{Burst: sampleBurst, Period: samplePeriod, NextSampler: countingSampler{m}}}
 }
 
 // countingSampler drops lines and counts them.
--- a/internal/telemetry/main_test.go
+++ b/internal/telemetry/main_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 )
 
-// clock is what the log's lines and its sampler take for the time.
+// clock is the current time for log lines and the sampler.
 var clock = time.Unix(1_700_000_000, 0)
 
 func TestMain(m *testing.M) {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Metrics are the counters, gauges and timers of one host.
+// Metrics is the registry of the counters, gauges and timers of one host.
 type Metrics struct{ metrics.Registry }
 
 // NewMetrics returns an empty registry.
@@ -22,12 +22,12 @@
 	metrics.GetOrRegisterGauge(name, m.Registry).Update(v)
 }
 
-// Timer finds a named timer.
+// Timer returns a named timer, registered at its first use.
 func (m Metrics) Timer(name string) metrics.Timer {
 	return metrics.GetOrRegisterTimer(name, m.Registry)
 }
 
-// Counter finds a named counter.
+// Counter returns a named counter, registered at its first use.
 func (m Metrics) Counter(name string) metrics.Counter {
 	return metrics.GetOrRegisterCounter(name, m.Registry)
 }
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -14,14 +14,14 @@
 	oteltrace "go.opentelemetry.io/otel/trace"
 )
 
-// Tracing makes a span for each hop and carries its context over every protocol.
+// Tracing creates spans and propagates their context over HTTP headers and messages between hosts.
 type Tracing struct {
 	oteltrace.Tracer
 	provider *sdktrace.TracerProvider
 	carrier  propagation.TraceContext
 }
 
-// TraceOptions choose the exporter: "none", "stdout" or "otlp".
+// TraceOptions configure NewTracing. Exporter is "none", "stdout" or "otlp"; Ratio is the share of traces that are sampled.
 type TraceOptions struct {
 	Exporter string
 	Endpoint string
@@ -31,8 +31,8 @@
 	Out      io.Writer
 }
 
-// NewTracing starts tracing. With exporter "none" spans are made, so that context is carried on,
-// but not recorded.
+// NewTracing starts tracing. With exporter "none", spans are created, so that context is propagated, but not
+// recorded.
 func NewTracing(ctx context.Context, o TraceOptions) (*Tracing, error) {
 	opts := []sdktrace.TracerProviderOption{
 		sdktrace.WithResource(resource.NewSchemaless(
@@ -61,24 +61,24 @@
 	return &Tracing{Tracer: p.Tracer("fireflyshift"), provider: p}, nil
 }
 
-// Close sends what is left.
+// Close exports the remaining spans and shuts tracing down.
 func (t *Tracing) Close(ctx context.Context) error { return trace.Wrap(t.provider.Shutdown(ctx)) }
 
-// Header is a set of headers to carry context in.
+// Header is a set of headers that carry trace context.
 type Header = propagation.TextMapCarrier
 
-// Inject writes the span context of ctx into headers.
+// Inject writes the span context of ctx into h.
 func (t *Tracing) Inject(ctx context.Context, h Header) { t.carrier.Inject(ctx, h) }
 
-// Extract reads the span context from headers.
+// Extract returns ctx with the span context read from h.
 func (t *Tracing) Extract(ctx context.Context, h Header) context.Context {
 	return t.carrier.Extract(ctx, h)
 }
 
 const traceparentKey = "traceparent"
 
-// Traceparent gives the span context of ctx as one string, for messages between hosts; empty where
-// nothing is recorded, since those messages are counted by the byte.
+// Traceparent returns the span context of ctx as a string, for messages between hosts. It is empty if the span is not
+// sampled, to keep these messages small.
 func (t *Tracing) Traceparent(ctx context.Context) string {
 	if !oteltrace.SpanContextFromContext(ctx).IsSampled() {
 		return ""
