--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -146,12 +146,12 @@
 	if !ok || p.incarnation != incarnation {
 		return
 	}
-	was := v.alive(now, p)
+	wasAlive := v.alive(now, p)
 	p.hasHeartbeat, p.heartbeatAt, p.lastSeenAt, p.draining = true, now, now, draining
 	if sentMS > p.echo {
 		p.echo = sentMS
 	}
-	if was != v.alive(now, p) {
+	if wasAlive != v.alive(now, p) {
 		v.version++
 	}
 }
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -171,8 +171,8 @@
 	for _, name := range g.sortedNames {
 		b := g.backends[name]
 		w.cost += b.estimate(&r, g.expectedOutputRatio()) / float64(len(g.sortedNames))
-		if shown := b.measuredEstimate(&r, g.outputRatio); minEstimate < 0 || shown < minEstimate {
-			minEstimate = shown
+		if measured := b.measuredEstimate(&r, g.outputRatio); minEstimate < 0 || measured < minEstimate {
+			minEstimate = measured
 		}
 	}
 	w.latestStart = r.Deadline - fromMS(max(minEstimate, 0)*finishMargin)
@@ -233,14 +233,14 @@
 // UpdateHoldings applies the full list of what one entry host runs here: it confirms known runs, adds
 // unknown ones and frees those not listed.
 func (g *Group) UpdateHoldings(now time.Duration, host string, held []Held) []Decision {
-	named := map[Key]bool{}
+	listed := map[Key]bool{}
 	for _, h := range held {
-		named[h.Key] = true
+		listed[h.Key] = true
 		g.adopt(now, h)
 	}
 	for _, r := range g.runsOf(host) {
 		// A grant may still be on its way to the entry host, so keep unlisted runs for the lease.
-		if !named[r.Key] && now-r.grantedAt > g.opt.Lease {
+		if !listed[r.Key] && now-r.grantedAt > g.opt.Lease {
 			g.free(r)
 		}
 	}
--- a/internal/sched/policy.go
+++ b/internal/sched/policy.go
@@ -54,9 +54,9 @@
 func scoreTwoChoices(g *Group, r *Request, b *backend) float64 {
 	const notDrawn = 1e9
 	better := 0
-	mine := scoreRandom(g, r, b)
+	own := scoreRandom(g, r, b)
 	for _, name := range g.sortedNames {
-		if scoreRandom(g, r, g.backends[name]) < mine {
+		if scoreRandom(g, r, g.backends[name]) < own {
 			better++
 		}
 	}
--- a/internal/sched/preempt.go
+++ b/internal/sched/preempt.go
@@ -56,8 +56,8 @@
 			continue
 		}
 		for _, r := range b.runs {
-			asked := r.preempting && now-r.preemptedAt < victimRetryInterval
-			if asked || r.Priority >= w.Priority || r.orphanedAt > 0 {
+			pending := r.preempting && now-r.preemptedAt < victimRetryInterval
+			if pending || r.Priority >= w.Priority || r.orphanedAt > 0 {
 				continue
 			}
 			if victim == nil || betterVictim(r, victim) {
--- a/internal/sched/schedule.go
+++ b/internal/sched/schedule.go
@@ -101,14 +101,14 @@
 	}
 	var best *backend
 	minScore := 0.0
-	v := noFreeSlot
+	result := noFreeSlot
 	for _, name := range g.sortedNames {
 		b := g.backends[name]
 		if !g.canServe(now, w, b) || len(b.runs) >= b.limitFor(g.reservedPercent(w.Priority)) {
 			continue
 		}
 		if !g.finishesInTime(now, w, b) {
-			v = tooSlow
+			result = tooSlow
 			continue
 		}
 		if s := score(g, &w.Request, b); best == nil || s < minScore {
@@ -116,9 +116,9 @@
 		}
 	}
 	if best != nil {
-		v = granted
+		result = granted
 	}
-	return best, v
+	return best, result
 }
 
 // canServe reports whether the server could serve the request if it had a free slot.
