--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -77,10 +77,10 @@
 }
 
 // hashesOf names the registered backend servers that a test accepts, in order of their ids, as beats name them.
-func (r *Router) hashesOf(tell func(*backend) bool) []uint32 {
+func (r *Router) hashesOf(match func(*backend) bool) []uint32 {
 	var out []uint32
 	for _, b := range r.allBackends() {
-		if !b.removed && tell(b) {
+		if !b.removed && match(b) {
 			out = append(out, b.hash)
 		}
 	}
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -106,9 +106,9 @@
 	b := &gossippb.Beat{
 		Host: r.opt.Host, Zone: r.opt.Zone, Incarnation: r.opt.Incarnation, Seq: r.seq, Leaving: r.drain != nil,
 		ConfigVersion: r.version(), Revision: r.updates.revision.Number, Era: r.updates.revision.Era, Digest: r.digest(),
-		ReadsStore: r.inContact(), ListsStore: r.lists(), Loads: r.ownLoads(),
+		ReadsStore: r.storeAnswers(), ListsStore: r.listingStore(), Loads: r.ownLoads(),
 		Dead: r.ownUnreachable(), AgeMs: r.uptimeMs(), Suspects: r.newSuspects(),
-		Leaves: r.ownLeaving(), Evacuations: r.toldEvacuations(),
+		Leaves: r.ownLeaving(), Evacuations: r.evacuationsToSend(),
 	}
 	if !r.sharing() {
 		b.Failing = r.hashesOf(func(b *backend) bool { return b.fails() })
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -15,9 +15,9 @@
 	// evacuationEndTTL is how long beats tell that an availability zone was taken back; who has not heard it by then finds by the
 	// digest that its news differ.
 	evacuationEndTTL = 10 * time.Second
-	// evacuationPatience is how long an evacuation stays that a later era of the store does not list: operators write again
+	// lostEvacuationTTL is how long an evacuation stays that a later era of the store does not list: operators write again
 	// what an older copy has lost.
-	evacuationPatience = 10 * time.Second
+	lostEvacuationTTL = 10 * time.Second
 	// maxEvacuations bounds the zones that are remembered, as others' words name them.
 	maxEvacuations = 64
 )
@@ -28,8 +28,8 @@
 	at time.Duration // when this host took it
 }
 
-// print stands for the word in a digest. That a zone was taken back is none: a host that starts later need not know.
-func (e *evacuation) print() uint64 {
+// fingerprint stands for the word in a digest. That a zone was taken back is none: a host that starts later need not know.
+func (e *evacuation) fingerprint() uint64 {
 	if e.Ended {
 		return 0
 	}
@@ -42,23 +42,23 @@
 	return ok && !e.Ended
 }
 
-// takeEvacuation takes the word of the store or of a peer on one availability zone.
-func (r *Router) takeEvacuation(e routing.Evacuation, from string) {
+// applyEvacuation takes the word of the store or of a peer on one availability zone.
+func (r *Router) applyEvacuation(e routing.Evacuation, from string) {
 	known, ok := r.evacuations[e.Zone]
 	if ok && !e.Revision.After(known.Revision) {
 		return
 	}
-	if !ok && len(r.evacuations) >= maxEvacuations && !r.forgetEnded() {
+	if !ok && len(r.evacuations) >= maxEvacuations && !r.evictEnded() {
 		r.emit(Note{What: "evacuation not taken: too many zones", Subject: e.Zone, Detail: from})
 		return
 	}
 	was := r.evacuated(e.Zone)
 	if ok {
-		r.updates.prints -= known.print()
+		r.updates.prints -= known.fingerprint()
 	}
 	taken := &evacuation{e, r.now}
 	r.evacuations[e.Zone] = taken
-	r.updates.prints += taken.print()
+	r.updates.prints += taken.fingerprint()
 	r.updates.revision = routing.Latest(r.updates.revision, e.Revision)
 	if was == !e.Ended {
 		return
@@ -83,8 +83,8 @@
 	}
 }
 
-// forgetEnded forgets the zone that was taken back first; false where all are still evacuated.
-func (r *Router) forgetEnded() bool {
+// evictEnded forgets the zone that was taken back first; false where all are still evacuated.
+func (r *Router) evictEnded() bool {
 	var oldest *evacuation
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		if e := r.evacuations[zone]; e.Ended && (oldest == nil || e.at < oldest.at) {
@@ -108,7 +108,7 @@
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		e := r.evacuations[zone]
 		if !e.Ended && !listed[zone] && e.Revision.Era == n.AsOf.Era && !e.Revision.After(n.AsOf) {
-			r.takeEvacuation(routing.Evacuation{Zone: zone, Revision: n.AsOf, Ended: true}, "store")
+			r.applyEvacuation(routing.Evacuation{Zone: zone, Revision: n.AsOf, Ended: true}, "store")
 		}
 	}
 }
@@ -116,18 +116,18 @@
 // expireEvacuations takes back zones whose evacuation the store has lost for good.
 func (r *Router) expireEvacuations() {
 	era := r.updates.complete.Era
-	if era == 0 || len(r.evacuations) == 0 || r.now-r.updates.eraAt < evacuationPatience {
+	if era == 0 || len(r.evacuations) == 0 || r.now-r.updates.eraAt < lostEvacuationTTL {
 		return
 	}
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		if e := r.evacuations[zone]; !e.Ended && e.Revision.Era < era {
-			r.takeEvacuation(routing.Evacuation{Zone: zone, Revision: routing.Revision{Era: era}, Ended: true}, "store")
+			r.applyEvacuation(routing.Evacuation{Zone: zone, Revision: routing.Revision{Era: era}, Ended: true}, "store")
 		}
 	}
 }
 
-// toldEvacuations are what beats tell: the zones that are evacuated, and those that were taken back lately.
-func (r *Router) toldEvacuations() []*gossippb.Evacuation {
+// evacuationsToSend are what beats tell: the zones that are evacuated, and those that were taken back lately.
+func (r *Router) evacuationsToSend() []*gossippb.Evacuation {
 	var out []*gossippb.Evacuation
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		e := r.evacuations[zone]
@@ -138,9 +138,9 @@
 	return out
 }
 
-// takeEvacuations takes another host's words.
-func (r *Router) takeEvacuations(from string, list []*gossippb.Evacuation) {
+// applyEvacuations takes another host's words.
+func (r *Router) applyEvacuations(from string, list []*gossippb.Evacuation) {
 	for _, e := range list {
-		r.takeEvacuation(routing.Evacuation{Zone: e.Zone, Revision: routing.Revision{Era: e.Era, Number: e.Revision}, Ended: e.Ended}, from)
+		r.applyEvacuation(routing.Evacuation{Zone: e.Zone, Revision: routing.Revision{Era: e.Era, Number: e.Revision}, Ended: e.Ended}, from)
 	}
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -175,7 +175,7 @@
 		} else if r.now-m.startedAt <= newHostDuration {
 			// It may have no seed in its own zone: without this, the hosts of zones without seeds knew a few of
 			// their zone mates each, and divided quotas and engines among these.
-			r.emitHeartbeat([]string{b.Host}, func(reply *gossippb.Beat) { reply.Peers = r.introductions(b.Zone) })
+			r.emitHeartbeat([]string{b.Host}, func(reply *gossippb.Beat) { reply.Peers = r.peersFor(b.Zone) })
 		}
 	}
 	returned := m.unreachable
@@ -199,8 +199,8 @@
 	r.applySpent(m, b.Spent, returned)
 	r.applyZoneSummaries(m.zone, b.Zones)
 	r.takeSuspects(b.Suspects)
-	r.takeLeaving(m.host, b.Leaves)
-	r.takeEvacuations(m.host, b.Evacuations)
+	r.applyLeaving(m.host, b.Leaves)
+	r.applyEvacuations(m.host, b.Evacuations)
 	r.compareNews(m, b)
 	for _, p := range b.Peers {
 		r.learnHost(p.Host, p.Zone)
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -75,7 +75,7 @@
 		r.updates.triedAt = max(1, r.now)
 	}
 	if !ok {
-		r.heartbeatPending = r.heartbeatPending || r.lists() // those that rely on it hear at once
+		r.heartbeatPending = r.heartbeatPending || r.listingStore() // those that rely on it hear at once
 		r.updates.failed = true
 	}
 	if ok == !r.updates.lost {
@@ -105,7 +105,7 @@
 	}
 	before := r.updates.changes
 	for _, e := range n.Evacuations {
-		r.takeEvacuation(e, cmp.Or(n.From, "store"))
+		r.applyEvacuation(e, cmp.Or(n.From, "store"))
 	}
 	for _, ch := range n.Backends {
 		r.applyBackendChange(ch)
@@ -219,7 +219,7 @@
 // waits a moment longer: its part of the quotas follows from how many hosts there are, which it does not
 // know yet.
 func (r *Router) announce() {
-	r.updates.withheld = r.largeFleet() && r.now < startWait
+	r.updates.withheld = r.largeFleet() && r.now < maxStartDelay
 	if !r.updates.withheld {
 		r.emit(ConfigActivated{r.table})
 	}
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -223,7 +223,7 @@
 	beat(2, false)
 	r.Reduce(now, Tick{})
 	require.False(t, reads(), "not at the first word")
-	now += readAlone + time.Millisecond
+	now += readersTimeout + time.Millisecond
 	beat(3, false)
 	r.Reduce(now, Tick{})
 	require.True(t, reads())
--- a/internal/router/reading.go
+++ b/internal/router/reading.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// readers are the hosts of a zone that read the platform's store, where zones relay.
-	readers = 3
-	// fewestReaders of the other hosts of a zone must be in contact with the store for a host to rely
+	// readersPerZone are the hosts of a zone that read the platform's store, where zones relay.
+	readersPerZone = 3
+	// minReaders of the other hosts of a zone must be in contact with the store for a host to rely
 	// on them, and readAlone is how long it waits for them. With contactFresh, a zone whose readers
 	// are all cut off from the store at once hears of a change within three seconds.
-	fewestReaders = 2
-	readAlone     = 400 * time.Millisecond
-	// listingMost is how long a host that lists the store counts as one that is about to be in contact.
-	listingMost = 2 * time.Second
-	// contactFresh is how old the store's latest answer may be for a host to count as in contact: a
+	minReaders     = 2
+	readersTimeout = 400 * time.Millisecond
+	// maxListingDuration is how long a host that lists the store counts as one that is about to be in contact.
+	maxListingDuration = 2 * time.Second
+	// storeContactTTL is how old the store's latest answer may be for a host to count as in contact: a
 	// watch that hears nothing is answered sooner.
-	contactFresh = 2200 * time.Millisecond
-	// startWait is how long a starting host listens for peers at most before it reads the store: where
+	storeContactTTL = 2200 * time.Millisecond
+	// maxStartDelay is how long a starting host listens for peers at most before it reads the store: where
 	// there are many, they have the news already.
-	startWait = 250 * time.Millisecond
+	maxStartDelay = 250 * time.Millisecond
 )
 
 // firstRead draws when a starting host reads the store. Where all hosts start together, as after a loss of
@@ -33,14 +33,14 @@
 	if slices.Contains(r.opt.Seeds, r.opt.Host) {
 		return 0
 	}
-	return time.Duration(math.Sqrt(r.rng.Float64()) * float64(startWait))
+	return time.Duration(math.Sqrt(r.rng.Float64()) * float64(maxStartDelay))
 }
 
-// decideReading turns the reading of the store on or off: on everywhere in a small fleet; in a large
+// updateReading turns the reading of the store on or off: on everywhere in a small fleet; in a large
 // one on the first hosts of each zone. Where too few of these are in contact with the store, or about to be, as they may be
 // cut off from it, several times as many read after each readAlone: all hosts of a large zone that listed the store at once
 // cost more than the readers do in a day.
-func (r *Router) decideReading() {
+func (r *Router) updateReading() {
 	if !r.zones.readingDecided && r.now < r.zones.firstRead {
 		return
 	}
@@ -54,11 +54,11 @@
 			listing++
 		}
 	}
-	if others+listing >= fewestReaders {
+	if others+listing >= minReaders {
 		r.zones.readersSeenAt = r.now
 	}
-	on := !r.largeFleet() || r.hasRole("reads the store", r.readersNow())
-	if r.updates.reading && r.zones.readingDecided && others < readers {
+	on := !r.largeFleet() || r.hasRole("reads the store", r.readerCount())
+	if r.updates.reading && r.zones.readingDecided && others < readersPerZone {
 		on = true // until others have taken over
 	}
 	shared := on && r.largeFleet()
@@ -78,30 +78,30 @@
 	r.emit(Note{What: "reads the store", Detail: onOff(on)})
 }
 
-// readersNow is how many hosts of the zone read the store by now.
-func (r *Router) readersNow() int {
-	n := readers
-	for waits := (r.now - r.zones.readersSeenAt) / readAlone; waits > 0 && n < maxReaders; waits-- {
-		n *= moreReaders
+// readerCount is how many hosts of the zone read the store by now.
+func (r *Router) readerCount() int {
+	n := readersPerZone
+	for rounds := (r.now - r.zones.readersSeenAt) / readersTimeout; rounds > 0 && n < maxReaders; rounds-- {
+		n *= readerGrowth
 	}
 	return n
 }
 
 const (
-	// moreReaders is how many times more hosts read after each readAlone, and maxReaders more than any zone has. With twice as
+	// readerGrowth is how many times more hosts read after each readAlone, and maxReaders more than any zone has. With twice as
 	// many a zone whose next readers are cut off too would wait for seconds.
-	moreReaders = 8
-	maxReaders  = 1 << 12
+	readerGrowth = 8
+	maxReaders   = 1 << 12
 )
 
-// lists tells that this host has begun to read the store, which has neither answered nor failed yet.
-func (r *Router) lists() bool {
-	return r.updates.reading && r.updates.lost && !r.updates.failed && r.now-r.updates.listedAt < listingMost
+// listingStore tells that this host has begun to read the store, which has neither answered nor failed yet.
+func (r *Router) listingStore() bool {
+	return r.updates.reading && r.updates.lost && !r.updates.failed && r.now-r.updates.listedAt < maxListingDuration
 }
 
-// inContact tells whether the store has lately answered this host.
-func (r *Router) inContact() bool {
-	return r.updates.reading && !r.updates.lost && r.now-r.updates.heardAt < contactFresh
+// storeAnswers tells whether the store has lately answered this host.
+func (r *Router) storeAnswers() bool {
+	return r.updates.reading && !r.updates.lost && r.now-r.updates.heardAt < storeContactTTL
 }
 
 func onOff(b bool) string {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -180,7 +180,7 @@
 		return
 	}
 	after := r.comeBack(q)
-	if at := r.backAt(q.service); cause == NoBackend && at > 0 {
+	if at := r.holdOffEnd(q.service); cause == NoBackend && at > 0 {
 		after = max(after, at-r.now)
 	}
 	r.emit(Refuse{ID: q.ID, Cause: cause, RetryAfter: after, Basis: g})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -164,7 +164,7 @@
 	case StoreStatus:
 		r.storeContact(e.OK)
 	case BackendAnnouncement:
-		r.said(e)
+		r.handleAnnouncement(e)
 	case ProbeResult:
 		r.checked(e)
 	case SettingsChanged:
@@ -235,7 +235,7 @@
 	r.expireCold()
 	r.expireOccupancy()
 	r.expireSuspects()
-	r.decideReading()
+	r.updateReading()
 }
 
 // Violations takes the invariant violations since the last call.
--- a/internal/router/said_test.go
+++ b/internal/router/said_test.go
@@ -114,12 +114,12 @@
 	require.GreaterOrEqual(t, refuse.RetryAfter, 2*time.Second)
 	_, refused := has[Refuse](submitted(r, 2, at+2*time.Second-1))
 	require.True(t, refused)
-	later := at + 2*time.Second + awaySpreadMost
+	later := at + 2*time.Second + maxHoldOffJitter
 	dispatchOf(t, submitted(r, 3, later))
 	r.Reduce(later, DispatchEnded{ID: 3, Outcome: Answered, First: time.Millisecond})
 	require.False(t, r.backends["a"].onProbation())
 	r.Reduce(later, BackendAnnouncement{ID: "a", HoldOff: 1000 * time.Hour})
-	require.LessOrEqual(t, r.backends["a"].holdOffUntil, later+awayMost+awaySpreadMost)
+	require.LessOrEqual(t, r.backends["a"].holdOffUntil, later+maxHoldOff+maxHoldOffJitter)
 }
 
 // Hosts that were turned away at the same moment come back at unlike ones.
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// unknownPace, unknownRead and unknownEvents stand for a service's time between events, time to read a
+	// defaultEventInterval, unknownRead and unknownEvents stand for a service's time between events, time to read a
 	// prompt token and length of a stream until any has been observed.
-	unknownPace   = 20 * time.Millisecond
-	unknownRead   = 20 * time.Microsecond
-	unknownEvents = 30
-	// eventsRate is the weight of a stream's length: lengths differ a hundredfold.
-	eventsRate = 0.02
+	defaultEventInterval   = 20 * time.Millisecond
+	defaultPrefillPerToken = 20 * time.Microsecond
+	defaultStreamLength    = 30
+	// streamLengthRate is the weight of a stream's length: lengths differ a hundredfold.
+	streamLengthRate = 0.02
 )
 
 // service is what this host believes of one service as a whole.
 type service struct {
-	// pace is the learned mean of its backend servers' intervals.
-	pace time.Duration
-	// read is the learned time to read a prompt token, and events the learned length of a stream.
-	read   time.Duration
-	events float64
-	budget *limit.Budget
+	// eventInterval is the learned mean of its backend servers' intervals.
+	eventInterval time.Duration
+	// prefillPerToken is the learned time to prefillPerToken a prompt token, and events the learned length of a stream.
+	prefillPerToken time.Duration
+	streamLength    float64
+	budget          *limit.Budget
 }
 
 // serviceNamed finds what is believed of a service, which may be nothing yet.
@@ -38,36 +38,36 @@
 
 func (s *service) learnPace(pace time.Duration) {
 	if pace > 0 {
-		s.pace += time.Duration(learnRate * float64(pace-s.pace))
+		s.eventInterval += time.Duration(learnRate * float64(pace-s.eventInterval))
 	}
 }
 
-func (s *service) learnRead(read time.Duration) { s.read = learned(s.read, read) }
+func (s *service) learnRead(read time.Duration) { s.prefillPerToken = learned(s.prefillPerToken, read) }
 
 // learnEvents learns the length of a stream; zero is no stream.
 func (s *service) learnEvents(events int) {
 	if events > 0 {
-		s.events = s.usualEvents() + eventsRate*(float64(events)-s.usualEvents())
+		s.streamLength = s.usualEvents() + streamLengthRate*(float64(events)-s.usualEvents())
 	}
 }
 
 func (s *service) usualPace() time.Duration {
-	if s.pace > 0 {
-		return s.pace
+	if s.eventInterval > 0 {
+		return s.eventInterval
 	}
-	return unknownPace
+	return defaultEventInterval
 }
 
 func (s *service) usualRead() time.Duration {
-	if s.read > 0 {
-		return s.read
+	if s.prefillPerToken > 0 {
+		return s.prefillPerToken
 	}
-	return unknownRead
+	return defaultPrefillPerToken
 }
 
 func (s *service) usualEvents() float64 {
-	if s.events > 0 {
-		return s.events
+	if s.streamLength > 0 {
+		return s.streamLength
 	}
-	return unknownEvents
+	return defaultStreamLength
 }
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -46,8 +46,8 @@
 	at = firstReads(300, []string{"10.0.9.1"})
 	soon := 0
 	for _, when := range at {
-		require.LessOrEqual(t, when, startWait+time.Millisecond)
-		if when < startWait/5 {
+		require.LessOrEqual(t, when, maxStartDelay+time.Millisecond)
+		if when < maxStartDelay/5 {
 			soon++
 		}
 	}
@@ -99,9 +99,9 @@
 	n := Update{Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
 	require.False(t, inForce(r.Reduce(20*time.Millisecond, n)))
 	require.False(t, r.Ready())
-	require.False(t, inForce(r.Reduce(startWait-time.Millisecond, Tick{})))
-	require.True(t, inForce(r.Reduce(startWait, Tick{})))
-	require.False(t, inForce(r.Reduce(startWait+time.Millisecond, Tick{})), "once")
+	require.False(t, inForce(r.Reduce(maxStartDelay-time.Millisecond, Tick{})))
+	require.True(t, inForce(r.Reduce(maxStartDelay, Tick{})))
+	require.False(t, inForce(r.Reduce(maxStartDelay+time.Millisecond, Tick{})), "once")
 
 	small := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
 	require.True(t, inForce(small.Reduce(20*time.Millisecond, n)))
@@ -235,15 +235,15 @@
 		for z := range zones {
 			served := 0
 			for _, h := range f.hosts[z*hosts : (z+1)*hosts] {
-				if h.r.inContact() {
+				if h.r.storeAnswers() {
 					served++
 				}
 			}
-			require.GreaterOrEqual(t, served, fewestReaders)
+			require.GreaterOrEqual(t, served, minReaders)
 		}
 		return f.listings - before
 	}
-	const most = zones * readers * (moreReaders + 1) // the readers and those who take over
+	const most = zones * readersPerZone * (readerGrowth + 1) // the readers and those who take over
 	require.LessOrEqual(t, listings(40), most)
 	require.LessOrEqual(t, listings(80), most)
 }
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -189,9 +189,9 @@
 		if sum == nil {
 			sum = r.ownZoneSummary()
 		}
-		r.emitHeartbeat(r.listeners(zone), func(b *gossippb.Beat) {
+		r.emitHeartbeat(r.summaryTargets(zone), func(b *gossippb.Beat) {
 			b.Zones = []*gossippb.ZoneSum{sum}
-			b.Peers = r.introductions(zone)
+			b.Peers = r.peersFor(zone)
 		})
 	}
 }
@@ -294,7 +294,7 @@
 		}
 		r.recordZone(s.Speaker, s.Zone)
 		r.takeSuspects(s.Suspects)
-		r.takeLeaving(s.Speaker, s.Leaves)
+		r.applyLeaving(s.Speaker, s.Leaves)
 		r.applyZoneSummary(s, from == s.Zone)
 	}
 }
