--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -35,8 +35,8 @@
 	hosts     bool            // the host list has to be read again
 }
 
-// sentAfterPause reports whether an echoed reading of this host's clock is from after the pause.
-func (s *catchUpState) sentAfterPause(echoMS uint64) bool {
+// afterPause reports whether an echoed reading of this host's clock is from after the pause.
+func (s *catchUpState) afterPause(echoMS uint64) bool {
 	return echoMS >= uint64(s.resumedAt/time.Millisecond)
 }
 
@@ -87,7 +87,7 @@
 // in a socket during the pause echoes an older clock reading; one from a host that is itself catching up
 // proves nothing.
 func (c *Core) catchUpFromHeartbeat(from string, h *peerpb.Heartbeat) {
-	fresh := h.EchoIncarnation == c.opt.Incarnation && c.catchUp.sentAfterPause(h.EchoMs)
+	fresh := h.EchoIncarnation == c.opt.Incarnation && c.catchUp.afterPause(h.EchoMs)
 	if !c.view.CatchingUp() || !fresh || h.CatchingUp || h.ConfigRevision > c.conf.Revision() {
 		return
 	}
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -188,7 +188,7 @@
 	}
 	spec, usable := c.usable(m.Backend)
 	validUntil := time.Duration(m.EchoMs+uint64(m.LeaseMs)) * time.Millisecond
-	if !usable || m.EchoIncarnation != c.opt.Incarnation || c.now > validUntil || !c.catchUp.sentAfterPause(m.EchoMs) {
+	if !usable || m.EchoIncarnation != c.opt.Incarnation || c.now > validUntil || !c.catchUp.afterPause(m.EchoMs) {
 		c.trace(r, "grant for backend server %s rejected: expired, sent before a pause of this host, or the server is leaving", m.Backend)
 		c.returnGrant(from, m)
 		c.backOff(r)
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -59,7 +59,7 @@
 	{"old-incarnation", "1", "internal/core/core.go",
 		"if e.From != c.opt.Self.ID && e.Incarnation != c.view.Incarnation(e.From) {", "if false {", coreTests},
 	{"lease-on-waking", "1, 4", "internal/core/entry.go", "|| c.now > validUntil ||", "||", coreTests},
-	{"grant-before-pause", "4", "internal/core/entry.go", " || !c.catchUp.sentAfterPause(m.EchoMs) {", " {", coreTests},
+	{"grant-before-pause", "4", "internal/core/entry.go", " || !c.catchUp.afterPause(m.EchoMs) {", " {", coreTests},
 	{"woken-takes-duties", "4", "internal/member/member.go", "return !v.draining && !v.catchingUp", "return !v.draining", coreTests},
 	{"woken-hears-the-past", "4", "internal/core/catchup.go", "|| !fresh ||", "|| !fresh && false ||", coreTests},
 	{"woken-hears-the-woken", "4", "internal/core/catchup.go", "|| !fresh || h.CatchingUp ||", "|| !fresh ||", coreTests},
