--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -35,10 +35,8 @@
 	hosts     bool            // the host list has to be read again
 }
 
-// afterPause reports whether an echoed reading of this host's clock is from after the pause.
-func (s *catchUpState) afterPause(echoMS uint64) bool {
-	return echoMS >= uint64(s.resumedAt/time.Millisecond)
-}
+// afterPause reports whether ms, a reading of this host's clock that a peer echoes, is from after the pause.
+func (s *catchUpState) afterPause(ms uint64) bool { return ms >= uint64(s.resumedAt/time.Millisecond) }
 
 // detectPause checks the time since the last event, before the next one is applied. It runs for every
 // event, since a message or a caller's request may come before the first tick after a pause.
