--- a/cmd/fireflyshiftd/main.go
+++ b/cmd/fireflyshiftd/main.go
@@ -80,7 +80,7 @@
 	metrics := telemetry.NewMetrics()
 	log, flush := telemetry.NewLogger(os.Stdout, "info", true, metrics)
 	store := platform.NewStore(set.Store, upstream.Transport(), telemetry.ComponentLogger(log, "store"))
-	err = node.Run(ctx, set, node.Dependencies{Store: store, Wire: platform.Wire{}, Reload: reload,
+	err = node.Run(ctx, set, node.Dependencies{Store: store, HeaderCodec: platform.HeaderCodec{}, Reload: reload,
 		Load: func() (*node.Settings, error) { return platform.LoadSettings(path) }}, log, metrics)
 	stopped(log, flush, err)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,7 +51,7 @@
 // Dependencies are supplied by the platform's adapter.
 type Dependencies struct {
 	Store Store
-	Wire  gateway.HeaderCodec
+	HeaderCodec  gateway.HeaderCodec
 	// Load reads the settings again, and Reload requests that immediately. Both may be nil.
 	Load   func() (*Settings, error)
 	Reload <-chan struct{}
@@ -144,7 +144,7 @@
 			}()
 		},
 	}
-	n.gateway = gateway.New(n.control, deps.Wire, n.pool, telemetry.ComponentLogger(n.root, "gateway"), n.metrics)
+	n.gateway = gateway.New(n.control, deps.HeaderCodec, n.pool, telemetry.ComponentLogger(n.root, "gateway"), n.metrics)
 	n.callers = &http.Server{Handler: n.gateway, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerBytes,
 		ErrorLog: stdlog.New(httpErrorLog{n.log}, "", 0)}
 	n.connections.Guard(n.callers, http.HandlerFunc(n.gateway.RejectShutdown))
