--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,8 +50,8 @@
 
 // Dependencies are supplied by the platform's adapter.
 type Dependencies struct {
-	Store Store
-	HeaderCodec  gateway.HeaderCodec
+	Store       Store
+	HeaderCodec gateway.HeaderCodec
 	// Load reads the settings again, and Reload requests that immediately. Both may be nil.
 	Load   func() (*Settings, error)
 	Reload <-chan struct{}
