--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -30,11 +30,11 @@
 		Revision: v.Version, Digest: v.Digest, Reading: v.Reading, PlatformOK: v.StoreOK, Requests: v.Requests, Violations: v.Violations,
 		StoreAgeMS: v.StoreAge.Milliseconds(), StoreEra: v.Era}
 	for _, p := range v.Peers {
-		s.Peers = append(s.Peers, core.PeerStatus{Host: p.Host, Zone: p.Zone, Addr: p.Host, Alive: p.Heard, AgeMS: p.Age.Milliseconds()})
+		s.Peers = append(s.Peers, core.PeerStatus{Host: p.Host, Zone: p.Zone, Addr: p.Host, Alive: p.Reachable, AgeMS: p.Age.Milliseconds()})
 	}
 	for _, q := range v.Quarantined {
 		s.Quarantined = append(s.Quarantined, core.QuarantineStatus{Digest: q.Digest, Workspace: q.Workspace, Ends: q.Ends,
-			AgeMS: q.Age.Milliseconds(), NextTrialMS: q.Back.Milliseconds()})
+			AgeMS: q.Age.Milliseconds(), NextTrialMS: q.TrialIn.Milliseconds()})
 	}
 	s.Suspects = v.Suspects
 	for _, b := range v.Backends {
--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -139,15 +139,15 @@
 	return b.excluded(now) == notExcluded, b.removed
 }
 
-// learnInterval learns the time between events, or of a plain answer.
-func (b *backend) learnInterval(pace time.Duration) {
-	if pace <= 0 {
+// learnEventInterval learns the time between events, or of a plain answer.
+func (b *backend) learnEventInterval(interval time.Duration) {
+	if interval <= 0 {
 		return
 	}
 	b.samples++
 	if b.interval == 0 {
-		b.interval = pace
+		b.interval = interval
 		return
 	}
-	b.interval += time.Duration(learnRate * float64(pace-b.interval))
+	b.interval += time.Duration(learnRate * float64(interval-b.interval))
 }
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -22,7 +22,7 @@
 			r.Reduce(0, n)
 			for i, be := range r.allBackends() {
 				be.othersLoad.counts[0] = i % 5
-				be.learnInterval(time.Duration(10+i%7) * time.Millisecond)
+				be.learnEventInterval(time.Duration(10+i%7) * time.Millisecond)
 				be.learnRead(time.Duration(10+i%5) * time.Microsecond)
 			}
 			b.ReportAllocs()
--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -54,7 +54,7 @@
 	r.Reduce(14*time.Second, Update{After: rev(0), AsOf: rev(90), Revision: rev(90), Changes: servers(rev(80), "b", "ghost")})
 	require.False(t, usable(r, "b"))
 	require.False(t, usable(r, "ghost"))
-	require.Equal(t, inEra(2, 22), r.updates.complete)
+	require.Equal(t, inEra(2, 22), r.updates.completeTo)
 }
 
 // A host has heard that a server leaves; the copy is older and says that it is ready, as does what comes later of the same
@@ -90,7 +90,7 @@
 		require.True(t, usable(r, id), id)
 	}
 	r.Reduce(at+time.Second, Update{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 21), Changes: servers(inEra(1, 21), "lives")})
-	r.Reduce(at+eraPatience, Tick{})
+	r.Reduce(at+lostBackendTTL, Tick{})
 	require.True(t, usable(r, "lives"))
 	require.False(t, usable(r, "ended"))
 }
@@ -114,7 +114,7 @@
 			Era: reader.updates.revision.Era, Digest: 7}
 	}
 	refused.Reduce(2*time.Second, HeartbeatReceived{beat(1)})
-	pull, ok := has[Pull](refused.Reduce(2*time.Second+pullAfter, HeartbeatReceived{beat(2)}))
+	pull, ok := has[Pull](refused.Reduce(2*time.Second+pullDelay, HeartbeatReceived{beat(2)}))
 	require.True(t, ok)
 	require.Equal(t, rev(50), pull.Revision)
 	news := reader.Snapshot(pull.Since)
@@ -125,9 +125,9 @@
 	told.From = "10.0.0.9"
 	out := refused.Reduce(3*time.Second, told)
 	require.Equal(t, "10.0.0.9", noteOf(out, "store is back from an older copy").Subject)
-	require.Equal(t, inEra(1, 20), refused.updates.complete)
+	require.Equal(t, inEra(1, 20), refused.updates.completeTo)
 	require.True(t, usable(refused, "a"))
-	refused.Reduce(3*time.Second+eraPatience, Tick{})
+	refused.Reduce(3*time.Second+lostBackendTTL, Tick{})
 	require.False(t, usable(refused, "a"))
 }
 
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -54,11 +54,11 @@
 	}
 	was := r.evacuated(e.Zone)
 	if ok {
-		r.updates.prints -= known.fingerprint()
+		r.updates.fingerprints -= known.fingerprint()
 	}
 	taken := &evacuation{e, r.now}
 	r.evacuations[e.Zone] = taken
-	r.updates.prints += taken.fingerprint()
+	r.updates.fingerprints += taken.fingerprint()
 	r.updates.revision = routing.Latest(r.updates.revision, e.Revision)
 	if was == !e.Ended {
 		return
@@ -115,8 +115,8 @@
 
 // expireEvacuations takes back zones whose evacuation the store has lost for good.
 func (r *Router) expireEvacuations() {
-	era := r.updates.complete.Era
-	if era == 0 || len(r.evacuations) == 0 || r.now-r.updates.eraAt < lostEvacuationTTL {
+	era := r.updates.completeTo.Era
+	if era == 0 || len(r.evacuations) == 0 || r.now-r.updates.eraSeenAt < lostEvacuationTTL {
 		return
 	}
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
--- a/internal/router/exhaustive_test.go
+++ b/internal/router/exhaustive_test.go
@@ -173,12 +173,12 @@
 	}
 	permute(len(news), func(order []int) {
 		b := newBench(t, 1)
-		version, complete := b.r.version(), b.r.updates.complete
+		version, complete := b.r.version(), b.r.updates.completeTo
 		for _, i := range append(append([]int(nil), order...), order...) {
 			b.post(news[i])
 			require.GreaterOrEqual(t, b.r.version(), version, "%v", order)
-			require.False(t, complete.After(b.r.updates.complete), "%v", order)
-			version, complete = b.r.version(), b.r.updates.complete
+			require.False(t, complete.After(b.r.updates.completeTo), "%v", order)
+			version, complete = b.r.version(), b.r.updates.completeTo
 		}
 		require.EqualValues(t, 5, version, "%v", order)
 		require.Equal(t, rev(75), complete, "%v", order)
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -119,16 +119,16 @@
 }
 
 func (r *Router) learnFromReport(b *backend, rep *gossippb.Report) {
-	svc := r.serviceNamed(b.Service)
+	svc := r.serviceState(b.Service)
 	if pace := min(time.Duration(rep.IntervalUs)*time.Microsecond, maxEventInterval); pace > 0 {
-		b.learnInterval(pace)
-		svc.learnPace(pace)
+		b.learnEventInterval(pace)
+		svc.learnEventInterval(pace)
 	}
 	if read := time.Duration(rep.ReadNs); read > 0 && read <= mostRead {
 		b.learnRead(read)
-		svc.learnRead(read)
+		svc.learnPrefill(read)
 	}
-	svc.learnEvents(int(min(rep.Events, maxEvents)))
+	svc.learnStreamLength(int(min(rep.Events, maxEvents)))
 }
 
 const (
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -146,7 +146,7 @@
 	if b.Host == r.opt.Host || b.Host == "" {
 		return
 	}
-	r.takeChanges(b.Changes) // they have revisions of their own, and go out at the pace of a small link
+	r.applyPushedChanges(b.Changes) // they have revisions of their own, and go out at the pace of a small link
 	m, known := r.members.byHost[b.Host]
 	if known && b.Incarnation == m.incarnation && b.Seq <= m.seq {
 		return
@@ -201,7 +201,7 @@
 	r.takeSuspects(b.Suspects)
 	r.applyLeaving(m.host, b.Leaves)
 	r.applyEvacuations(m.host, b.Evacuations)
-	r.compareNews(m, b)
+	r.compareDigests(m, b)
 	for _, p := range b.Peers {
 		r.learnHost(p.Host, p.Zone)
 	}
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -17,50 +17,50 @@
 )
 
 const (
-	// storePatience is how long a host that has a peer's configuration waits for the store before
+	// storeTimeout is how long a host that has a peer's configuration waits for the store before
 	// it takes callers.
-	storePatience = 1200 * time.Millisecond
-	// pullAfter is how long a peer may know more before this host asks it: the store's own news
+	storeTimeout = 1200 * time.Millisecond
+	// pullDelay is how long a peer may know more before this host asks it: the store's own news
 	// mostly come within milliseconds, so that an earlier question would be wasted.
-	pullAfter = 250 * time.Millisecond
-	// pullEvery spaces the questions.
-	pullEvery = 300 * time.Millisecond
-	// pullEqual spaces questions to hosts that differ without knowing more.
-	pullEqual = 3 * time.Second
-	// tombstoneFor keeps the memory of removed backend servers: longer than any cut after which a
+	pullDelay = 250 * time.Millisecond
+	// pullInterval spaces the questions.
+	pullInterval = 300 * time.Millisecond
+	// fullPullInterval spaces questions to hosts that differ without knowing more.
+	fullPullInterval = 3 * time.Second
+	// tombstoneTTL keeps the memory of removed backend servers: longer than any cut after which a
 	// peer may bring an old registration back.
-	tombstoneFor = 2 * time.Minute
-	// doubtFor is how long a registration that lapsed around an outage of the store may still be
+	tombstoneTTL = 2 * time.Minute
+	// lapsedGracePeriod is how long a registration that lapsed around an outage of the store may still be
 	// used: a live backend server is registered again within two seconds of the store's return.
-	doubtFor = 1800 * time.Millisecond
-	// outageEcho is how long after the store's return removals are taken for lapses.
-	outageEcho = 3 * time.Second
+	lapsedGracePeriod = 1800 * time.Millisecond
+	// lapseWindow is how long after the store's return removals are taken for lapses.
+	lapseWindow = 3 * time.Second
 )
 
-type newsState struct {
+type updateState struct {
 	revision routing.Revision // highest revision known
-	// complete is the revision up to which every change of backend servers is known, so that only
+	// completeTo is the revision up to which every change of backend servers is known, so that only
 	// later ones have to be asked for, and a registration that is older and unknown is gone.
-	complete routing.Revision
-	// eraAt is when complete came into its era of the store, and changes counts what changed of backend servers.
-	eraAt   time.Duration
-	changes int
-	prints  uint64 // of all live registrations
-	synced  bool   // the store has been read since the start
-	reading bool   // this host reads the store
-	triedAt time.Duration
-	lost    bool
+	completeTo routing.Revision
+	// eraSeenAt is when complete came into its era of the store, and changes counts what changed of backend servers.
+	eraSeenAt    time.Duration
+	changes      int
+	fingerprints uint64 // of all live registrations
+	synced       bool   // the store has been read since the start
+	reading      bool   // this host reads the store
+	storeTriedAt time.Duration
+	storeLost    bool
 	// failed tells that the store has failed this host since it began to read at listedAt.
-	failed   bool
-	listedAt time.Duration
-	backAt   time.Duration
-	pulledAt time.Duration
-	heardAt  time.Duration // latest word of the store
-	withheld bool          // the traffic side does not know the configuration yet
+	failed          bool
+	listedAt        time.Duration
+	storeBackAt     time.Duration
+	pulledAt        time.Duration
+	storeAnsweredAt time.Duration // latest word of the store
+	configWithheld  bool          // the traffic side does not know the configuration yet
 }
 
-func newNewsState() newsState {
-	return newsState{lost: true}
+func newUpdateState() updateState {
+	return updateState{storeLost: true}
 }
 
 func (r *Router) version() uint64 {
@@ -71,37 +71,37 @@
 }
 
 func (r *Router) storeContact(ok bool) {
-	if r.updates.triedAt == 0 {
-		r.updates.triedAt = max(1, r.now)
+	if r.updates.storeTriedAt == 0 {
+		r.updates.storeTriedAt = max(1, r.now)
 	}
 	if !ok {
 		r.heartbeatPending = r.heartbeatPending || r.listingStore() // those that rely on it hear at once
 		r.updates.failed = true
 	}
-	if ok == !r.updates.lost {
+	if ok == !r.updates.storeLost {
 		return
 	}
-	r.updates.lost = !ok
+	r.updates.storeLost = !ok
 	r.heartbeatPending = r.heartbeatPending || r.updates.reading
 	if ok {
-		r.updates.backAt = r.now
+		r.updates.storeBackAt = r.now
 		r.emit(Note{What: "store answers"})
 		return
 	}
 	r.emit(Note{What: "store does not answer"})
 }
 
-// takeNews merges news from anywhere. What decides is the version of the configuration and the
+// applyUpdate merges news from anywhere. What decides is the version of the configuration and the
 // revision of each registration, so that the order in which news come does not matter and an older
 // peer or a stale read cannot take anything back.
-func (r *Router) takeNews(n Update) {
+func (r *Router) applyUpdate(n Update) {
 	if n.FromStore {
 		r.storeContact(true)
 		r.updates.synced = true
-		r.updates.heardAt = r.now
+		r.updates.storeAnsweredAt = r.now
 	}
 	if n.Config != nil && n.Config.Version > r.version() {
-		r.adopt(n.Config)
+		r.applyConfig(n.Config)
 	}
 	before := r.updates.changes
 	for _, e := range n.Evacuations {
@@ -115,29 +115,29 @@
 		r.endUnlisted(n)
 	}
 	r.updates.revision = routing.Latest(r.updates.revision, n.Revision)
-	if !n.After.After(r.updates.complete) {
-		r.advance(n, r.updates.changes-before)
+	if !n.After.After(r.updates.completeTo) {
+		r.advanceCompleteTo(n, r.updates.changes-before)
 	}
 	if n.FromStore && !n.Full {
 		r.pushChanges(n.Changes)
 	}
 }
 
-// eraPatience is how long after a later era of the store is heard a backend server stays that it does not list: one that
+// lostBackendTTL is how long after a later era of the store is heard a backend server stays that it does not list: one that
 // lives writes again what the store has lost within two seconds of its return.
-const eraPatience = 2500 * time.Millisecond
+const lostBackendTTL = 2500 * time.Millisecond
 
-// advance notes up to which revision every change is known. Where that is of a later era, the store has come back from an older
+// advanceCompleteTo notes up to which revision every change is known. Where that is of a later era, the store has come back from an older
 // copy of itself.
-func (r *Router) advance(n Update, changed int) {
-	was := r.updates.complete
-	r.updates.complete = routing.Latest(was, n.AsOf)
-	if r.updates.complete.Era == was.Era {
+func (r *Router) advanceCompleteTo(n Update, changed int) {
+	was := r.updates.completeTo
+	r.updates.completeTo = routing.Latest(was, n.AsOf)
+	if r.updates.completeTo.Era == was.Era {
 		return
 	}
-	r.updates.eraAt = r.now
+	r.updates.eraSeenAt = r.now
 	// Peers hear of the era by this, also where the copy lists no backend server.
-	r.updates.revision = routing.Latest(r.updates.revision, routing.Revision{Era: r.updates.complete.Era})
+	r.updates.revision = routing.Latest(r.updates.revision, routing.Revision{Era: r.updates.completeTo.Era})
 	if was == (routing.Revision{}) {
 		return // this host has just started
 	}
@@ -146,13 +146,13 @@
 		from = "store"
 	}
 	r.emit(Note{What: "store is back from an older copy", Subject: from,
-		Detail: fmt.Sprintf("revision %s after %s, %d backend servers changed", r.updates.complete, was, changed)})
+		Detail: fmt.Sprintf("revision %s after %s, %d backend servers changed", r.updates.completeTo, was, changed)})
 }
 
-// dropLost gives up the backend servers that the store had lost and that have not registered there again.
-func (r *Router) dropLost() {
-	era := r.updates.complete.Era
-	if era == 0 || r.now-r.updates.eraAt < eraPatience {
+// removeLostBackends gives up the backend servers that the store had lost and that have not registered there again.
+func (r *Router) removeLostBackends() {
+	era := r.updates.completeTo.Era
+	if era == 0 || r.now-r.updates.eraSeenAt < lostBackendTTL {
 		return
 	}
 	for _, b := range r.allBackends() {
@@ -188,8 +188,8 @@
 	}
 }
 
-// takeChanges merges changes that a peer pushes.
-func (r *Router) takeChanges(data []byte) {
+// applyPushedChanges merges changes that a peer pushes.
+func (r *Router) applyPushedChanges(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -203,7 +203,7 @@
 	}
 }
 
-func (r *Router) adopt(c *routing.Config) {
+func (r *Router) applyConfig(c *routing.Config) {
 	r.invariants.Check(c.Version > r.version(), "configuration goes back from %d to %d", r.version(), c.Version)
 	// Those that wait for a first configuration, or rely on this host's reading, hear of it at once.
 	r.heartbeatPending = r.heartbeatPending || r.table == nil || r.updates.reading
@@ -212,15 +212,15 @@
 	for i := range c.Workspaces {
 		r.setQuota(&c.Workspaces[i])
 	}
-	r.announce()
+	r.activateConfig()
 }
 
-// announce lets the traffic side go by the configuration. A host of a large fleet that has just started
+// activateConfig lets the traffic side go by the configuration. A host of a large fleet that has just started
 // waits a moment longer: its part of the quotas follows from how many hosts there are, which it does not
 // know yet.
-func (r *Router) announce() {
-	r.updates.withheld = r.largeFleet() && r.now < maxStartDelay
-	if !r.updates.withheld {
+func (r *Router) activateConfig() {
+	r.updates.configWithheld = r.largeFleet() && r.now < maxStartDelay
+	if !r.updates.configWithheld {
 		r.emit(ConfigActivated{r.table})
 	}
 }
@@ -264,16 +264,16 @@
 	}
 }
 
-func (r *Router) expireNews() {
-	r.dropLost()
+func (r *Router) expireBackends() {
+	r.removeLostBackends()
 	for _, id := range slices.Sorted(maps.Keys(r.tombstones)) {
 		b := r.tombstones[id]
-		if r.now-b.removedAt > tombstoneFor && b.ownLoad.total() == 0 {
+		if r.now-b.removedAt > tombstoneTTL && b.ownLoad.total() == 0 {
 			delete(r.tombstones, id)
 			delete(r.warming, id)
 			delete(r.backends, id)
 			delete(r.byHash, b.hash)
-			r.forgetOrder()
+			r.invalidateBackendLists()
 		}
 	}
 }
@@ -287,14 +287,14 @@
 	return r.sortedBackends
 }
 
-// forgetOrder makes the lists of backend servers anew at their next use.
-func (r *Router) forgetOrder() {
+// invalidateBackendLists makes the lists of backend servers anew at their next use.
+func (r *Router) invalidateBackendLists() {
 	r.sortedBackends, r.byService, r.zoneByService, r.byZone = nil, nil, nil, nil
 	r.owners.valid = false
 }
 
-// grouped puts backend servers into lists by what a key says of them, in their order.
-func grouped(list []*backend, key func(*backend) string) map[string][]*backend {
+// groupBy puts backend servers into lists by what a key says of them, in their order.
+func groupBy(list []*backend, key func(*backend) string) map[string][]*backend {
 	out := map[string][]*backend{}
 	for _, b := range list {
 		out[key(b)] = append(out[key(b)], b)
@@ -309,7 +309,7 @@
 // backendsOf are the known backend servers of a service, in order of their ids.
 func (r *Router) backendsOf(service string) []*backend {
 	if r.byService == nil {
-		r.byService = grouped(r.allBackends(), serviceName)
+		r.byService = groupBy(r.allBackends(), serviceName)
 	}
 	return r.byService[service]
 }
@@ -317,7 +317,7 @@
 // backendsIn are the known backend servers of an availability zone, in order of their ids.
 func (r *Router) backendsIn(zone string) []*backend {
 	if r.byZone == nil {
-		r.byZone = grouped(r.allBackends(), zoneName)
+		r.byZone = groupBy(r.allBackends(), zoneName)
 	}
 	return r.byZone[zone]
 }
@@ -325,26 +325,26 @@
 // zoneBackendsOf are those of a service that are in this host's zone, in order of their ids.
 func (r *Router) zoneBackendsOf(service string) []*backend {
 	if r.zoneByService == nil {
-		r.zoneByService = grouped(r.backendsIn(r.opt.Zone), serviceName)
+		r.zoneByService = groupBy(r.backendsIn(r.opt.Zone), serviceName)
 	}
 	return r.zoneByService[service]
 }
 
-// print stands for a registration in a digest.
-func (b *backend) print() uint64 {
+// fingerprint stands for a registration in a digest.
+func (b *backend) fingerprint() uint64 {
 	text := binary.LittleEndian.AppendUint64([]byte(b.ID), b.revision.Number)
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64(text, b.revision.Era))
 }
 
-// versionPrint spreads versions over a digest: the golden ratio in 64 bits.
-const versionPrint = 0x9E3779B97F4A7C15
+// versionFactor spreads versions over a digest: the golden ratio in 64 bits.
+const versionFactor = 0x9E3779B97F4A7C15
 
 // digest is equal on hosts that hold the same news.
-func (r *Router) digest() uint64 { return r.version()*versionPrint + r.updates.prints }
+func (r *Router) digest() uint64 { return r.version()*versionFactor + r.updates.fingerprints }
 
-// compareNews asks a peer for its news if it has held others for a while: the store may be out of
+// compareDigests asks a peer for its news if it has held others for a while: the store may be out of
 // this host's reach, or may refuse this host alone.
-func (r *Router) compareNews(m *member, b *gossippb.Beat) {
+func (r *Router) compareDigests(m *member, b *gossippb.Beat) {
 	if b.Digest == r.digest() {
 		m.differsSince = 0
 		return
@@ -354,12 +354,12 @@
 	}
 	// What is known may have gaps up to the highest revision: a push that was lost, and a later one that
 	// was not. Only up to complete there are none.
-	newer := b.ConfigVersion > r.version() || routing.Revision{Era: b.Era, Number: b.Revision}.After(r.updates.complete)
-	wait, every := pullAfter, pullEvery
-	since := Since{Revision: r.updates.complete, Version: r.version()}
+	newer := b.ConfigVersion > r.version() || routing.Revision{Era: b.Era, Number: b.Revision}.After(r.updates.completeTo)
+	wait, every := pullDelay, pullInterval
+	since := Since{Revision: r.updates.completeTo, Version: r.version()}
 	if !newer {
 		// Something was missed on the way, so that what is known is less than it seems: ask for all.
-		wait, every, since = pullEqual, pullEqual, Since{}
+		wait, every, since = fullPullInterval, fullPullInterval, Since{}
 	}
 	if r.table == nil {
 		wait = 0
@@ -374,7 +374,7 @@
 // Snapshot is what this host knows beyond what a peer that asks has already. At 3,000 backend servers
 // the whole is most of a megabyte, which a hundred hosts that ask at once cannot send in time.
 func (r *Router) Snapshot(since Since) Update {
-	n := Update{Revision: r.updates.revision, After: since.Revision, AsOf: r.updates.complete}
+	n := Update{Revision: r.updates.revision, After: since.Revision, AsOf: r.updates.completeTo}
 	if r.table != nil && r.version() > since.Version {
 		n.Config = r.table.Config
 	}
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -29,7 +29,7 @@
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 9, Revision: 80, Digest: peer.r.digest()}
 	}
 	b.post(HeartbeatReceived{beat(1)})
-	b.now += pullAfter + time.Millisecond
+	b.now += pullDelay + time.Millisecond
 	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
 	require.Len(t, asked, 1)
 	require.Equal(t, Since{Revision: rev(50), Version: 1}, asked[0].Since)
@@ -38,7 +38,7 @@
 	require.Len(t, n.Backends, 2)
 	b.post(n)
 	require.Equal(t, peer.r.digest(), b.r.digest())
-	require.Equal(t, rev(90), b.r.updates.complete)
+	require.Equal(t, rev(90), b.r.updates.completeTo)
 	require.Nil(t, b.r.Snapshot(Since{Revision: rev(90), Version: 9}).Config)
 }
 
@@ -47,7 +47,7 @@
 func TestMissedChangeIsAskedFor(t *testing.T) {
 	b := newBench(t, 1)
 	b.post(Update{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
-	require.Equal(t, rev(50), b.r.updates.complete)
+	require.Equal(t, rev(50), b.r.updates.completeTo)
 }
 
 // A backend server was removed while this host did not run. A peer that has not heard of it still names
@@ -133,7 +133,7 @@
 	told := 0
 	for _, e := range reader.post(Update{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
 		if s, ok := e.(SendHeartbeat); ok && len(s.Heartbeat.Changes) > 0 {
-			mate.r.takeChanges(s.Heartbeat.Changes)
+			mate.r.applyPushedChanges(s.Heartbeat.Changes)
 			told++
 		}
 	}
@@ -149,12 +149,12 @@
 	b := newBench(t, 1) // complete as of revision 50
 	late, err := json.Marshal([]routing.BackendChange{changeOf("later", 90, false)})
 	require.NoError(t, err)
-	b.r.takeChanges(late)
+	b.r.applyPushedChanges(late)
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: 90, Digest: 7}
 	}
 	b.post(HeartbeatReceived{beat(1)})
-	b.now += pullAfter + time.Millisecond
+	b.now += pullDelay + time.Millisecond
 	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
 	require.Len(t, asked, 1)
 	require.Equal(t, rev(50), asked[0].Revision)
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -154,7 +154,7 @@
 }
 
 func (r *Router) newSelector(q *request, where scope) selector {
-	s := selector{r: r, q: q, svc: r.serviceNamed(q.service), scope: where}
+	s := selector{r: r, q: q, svc: r.serviceState(q.service), scope: where}
 	if r.table != nil {
 		s.cfg = r.table.Service(q.service)
 	}
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -71,7 +71,7 @@
 
 // learn lets an engine answer with a pace.
 func (b *bench) learn(engine string, pace time.Duration) {
-	b.r.backends[engine].learnInterval(pace)
+	b.r.backends[engine].learnEventInterval(pace)
 }
 
 // A burst of hints fills every engine. A review that comes then must still find a place at each of
@@ -238,7 +238,7 @@
 	b.post(Update{FromStore: true, Full: true, AsOf: rev(60)})
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e0", engine)
-	b.now += doubtFor
+	b.now += lapsedGracePeriod
 	_, refused := b.submit(urgent, 0, 10)
 	require.NotNil(t, refused)
 	require.Equal(t, NoBackend, refused.Cause)
@@ -326,7 +326,7 @@
 func TestPlacesToWaitFollowTheEngine(t *testing.T) {
 	b := newBench(t, 1)
 	e0 := b.r.backends["e0"]
-	e0.learnInterval(20 * time.Millisecond)
+	e0.learnEventInterval(20 * time.Millisecond)
 	limit := func(slots int, rank float64) int {
 		e0.Slots = slots
 		s := b.r.newSelector(&request{Submit: Submit{Route: urgent, Rank: rank}, service: "m"}, scopeAll)
@@ -338,7 +338,7 @@
 	require.Equal(t, 11+headroom-headroomPerRank, limit(11, 1))
 	require.Equal(t, 64+headroom, limit(64, 0))
 	for i := 0; i < 100; i++ {
-		e0.learnInterval(time.Second)
+		e0.learnEventInterval(time.Second)
 	}
 	require.Equal(t, 1, limit(1, 0))
 }
--- a/internal/router/predict.go
+++ b/internal/router/predict.go
@@ -33,7 +33,7 @@
 	}
 	read := b.prefillPerToken
 	if read == 0 {
-		read = s.svc.usualRead()
+		read = s.svc.expectedPrefillPerToken()
 	}
 	wait := pace + time.Duration(b.unread(s.r.now)+s.q.PromptTok)*read
 	if over := held + 1 - b.Slots; over > 0 && b.Slots > 0 {
@@ -45,12 +45,12 @@
 // turnover is how often a place comes free at an engine where all are taken: as streams of the usual length
 // end.
 func (s *selector) turnover(b *backend) time.Duration {
-	return max(1, time.Duration(s.svc.usualEvents()*float64(s.paceOf(b))/float64(max(1, b.Slots))))
+	return max(1, time.Duration(s.svc.expectedStreamLength()*float64(s.paceOf(b))/float64(max(1, b.Slots))))
 }
 
 func (s *selector) paceOf(b *backend) time.Duration {
 	if b.interval > 0 {
 		return b.interval
 	}
-	return s.svc.usualPace()
+	return s.svc.expectedEventInterval()
 }
--- a/internal/router/reading.go
+++ b/internal/router/reading.go
@@ -72,7 +72,7 @@
 	r.zones.shared = shared
 	r.updates.reading = on
 	if !on {
-		r.updates.lost = true
+		r.updates.storeLost = true
 	}
 	r.emit(ReadStore{on, shared})
 	r.emit(Note{What: "reads the store", Detail: onOff(on)})
@@ -96,12 +96,12 @@
 
 // listingStore tells that this host has begun to read the store, which has neither answered nor failed yet.
 func (r *Router) listingStore() bool {
-	return r.updates.reading && r.updates.lost && !r.updates.failed && r.now-r.updates.listedAt < maxListingDuration
+	return r.updates.reading && r.updates.storeLost && !r.updates.failed && r.now-r.updates.listedAt < maxListingDuration
 }
 
 // storeAnswers tells whether the store has lately answered this host.
 func (r *Router) storeAnswers() bool {
-	return r.updates.reading && !r.updates.lost && r.now-r.updates.heardAt < storeContactTTL
+	return r.updates.reading && !r.updates.storeLost && r.now-r.updates.storeAnsweredAt < storeContactTTL
 }
 
 func onOff(b bool) string {
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -68,7 +68,7 @@
 		return
 	}
 	r.updates.revision = routing.Latest(r.updates.revision, ch.Revision)
-	if !ch.Revision.After(r.updates.complete) {
+	if !ch.Revision.After(r.updates.completeTo) {
 		return // it was removed since; whoever tells of it has not heard
 	}
 	r.emit(Note{What: "backend server joined", Subject: ch.ID, Detail: describe(ch.Backend)})
@@ -86,8 +86,8 @@
 	r.updates.changes++
 	r.backends[ch.ID] = b
 	r.indexBackend(b)
-	r.forgetOrder()
-	r.updates.prints += b.print()
+	r.invalidateBackendLists()
+	r.updates.fingerprints += b.fingerprint()
 	b.evacuated = r.evacuated(b.Zone)
 	r.setCold(b, ch.Cold, "registration")
 	if s := r.serviceConfig(b); s != nil && s.Model && !b.Model {
@@ -149,15 +149,15 @@
 	r.owners.valid = r.owners.valid && !b.removed
 	b.Backend, b.revision, b.registeredRevision, b.removed = ch.Backend, ch.Revision, ch.Revision, false
 	delete(r.tombstones, b.ID)
-	r.updates.prints += b.print()
+	r.updates.fingerprints += b.fingerprint()
 	if moved {
-		r.forgetOrder()
+		r.invalidateBackendLists()
 	}
 }
 
 func (r *Router) dropFingerprint(b *backend) {
 	if b.revision != (routing.Revision{}) && !b.removed {
-		r.updates.prints -= b.print()
+		r.updates.fingerprints -= b.fingerprint()
 	}
 }
 
@@ -177,8 +177,8 @@
 	b.removed, b.removedAt, b.usableUntil = true, r.now, 0
 	r.tombstones[b.ID] = b
 	r.owners.valid = false
-	if !b.Draining && !ch.Foreign && (r.updates.lost || r.now-r.updates.backAt < outageEcho) {
-		b.usableUntil = r.now + doubtFor
+	if !b.Draining && !ch.Foreign && (r.updates.storeLost || r.now-r.updates.storeBackAt < lapseWindow) {
+		b.usableUntil = r.now + lapsedGracePeriod
 	}
 	if !b.Draining && !b.leaving && !ch.Foreign && b.usableUntil == 0 {
 		r.backendEnded(b)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -165,7 +165,7 @@
 
 // grounds are those of any decision: by which news it is made.
 func (r *Router) grounds() DecisionBasis {
-	return DecisionBasis{Version: r.version(), Era: r.updates.complete.Era}
+	return DecisionBasis{Version: r.version(), Era: r.updates.completeTo.Era}
 }
 
 // refuse ends a request for which there is no place, truly: only what has not run is called so.
@@ -242,10 +242,10 @@
 	case Answered:
 		b.succeeded(q.sentAt)
 		pace := paceOf(q, e)
-		b.learnInterval(pace)
-		svc := r.serviceNamed(b.Service)
-		svc.learnPace(pace)
-		svc.learnEvents(e.Events)
+		b.learnEventInterval(pace)
+		svc := r.serviceState(b.Service)
+		svc.learnEventInterval(pace)
+		svc.learnStreamLength(e.Events)
 	case NotSent:
 		if e.Fault {
 			b.refused(r.now)
@@ -343,7 +343,7 @@
 }
 
 func (r *Router) budgetOf(name string) *limit.Budget {
-	s := r.serviceNamed(name)
+	s := r.serviceState(name)
 	if s.budget == nil {
 		b := r.opt.Bounds
 		s.budget = limit.NewBudget(b.RetryRatio, b.RetryExtra, b.RetryWindow)
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -144,7 +144,7 @@
 		digests := map[uint64]bool{}
 		permute(len(play.changes), func(order []int) {
 			b := newBench(t, 0)
-			b.now += outageEcho // so that nothing is taken for a lapse
+			b.now += lapseWindow // so that nothing is taken for a lapse
 			for _, i := range append(append([]int(nil), order...), order...) {
 				b.tell(play.changes[i])
 			}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -53,7 +53,7 @@
 	effects    []Effect
 	table      *routing.Table
 	members    members
-	updates    newsState
+	updates    updateState
 	backends   map[string]*backend
 	byHash     map[uint32]*backend
 	// tombstones are the backends whose registration is gone, and warming those that are cold, by id.
@@ -104,7 +104,7 @@
 		opt:           opt,
 		rng:           rand.New(rand.NewPCG(opt.Seed, opt.Incarnation)),
 		members:       newMembers(),
-		updates:       newNewsState(),
+		updates:       newUpdateState(),
 		backends:      map[string]*backend{},
 		byHash:        map[uint32]*backend{},
 		tombstones:    map[string]*backend{},
@@ -160,7 +160,7 @@
 	case RelayReceived:
 		r.applyZoneSummaries(r.opt.Zone, e.Relay.Zones)
 	case Update:
-		r.takeNews(e)
+		r.applyUpdate(e)
 	case StoreStatus:
 		r.storeContact(e.OK)
 	case BackendAnnouncement:
@@ -215,8 +215,8 @@
 			r.maintenanceAt = r.now + maintenanceInterval
 		}
 	}
-	if r.updates.withheld {
-		r.announce()
+	if r.updates.configWithheld {
+		r.activateConfig()
 	}
 	r.relaySummaries()
 	r.tellOccupancy()
@@ -230,7 +230,7 @@
 func (r *Router) runMaintenance() {
 	r.expireMembers()
 	r.expireZones()
-	r.expireNews()
+	r.expireBackends()
 	r.expireEvacuations()
 	r.expireCold()
 	r.expireOccupancy()
@@ -247,8 +247,8 @@
 // Ready tells whether the balancer should send callers here: the configuration is known from the
 // store, or from a peer while the store does not answer, and the host is not shutting down.
 func (r *Router) Ready() bool {
-	if r.table == nil || r.drain != nil || r.updates.withheld {
+	if r.table == nil || r.drain != nil || r.updates.configWithheld {
 		return false
 	}
-	return r.updates.synced || r.now-r.updates.triedAt >= storePatience
+	return r.updates.synced || r.now-r.updates.storeTriedAt >= storeTimeout
 }
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -26,8 +26,8 @@
 	budget          *limit.Budget
 }
 
-// serviceNamed finds what is believed of a service, which may be nothing yet.
-func (r *Router) serviceNamed(name string) *service {
+// serviceState finds what is believed of a service, which may be nothing yet.
+func (r *Router) serviceState(name string) *service {
 	s, ok := r.services[name]
 	if !ok {
 		s = &service{}
@@ -36,36 +36,38 @@
 	return s
 }
 
-func (s *service) learnPace(pace time.Duration) {
-	if pace > 0 {
-		s.eventInterval += time.Duration(learnRate * float64(pace-s.eventInterval))
+func (s *service) learnEventInterval(interval time.Duration) {
+	if interval > 0 {
+		s.eventInterval += time.Duration(learnRate * float64(interval-s.eventInterval))
 	}
 }
 
-func (s *service) learnRead(read time.Duration) { s.prefillPerToken = learned(s.prefillPerToken, read) }
+func (s *service) learnPrefill(read time.Duration) {
+	s.prefillPerToken = learned(s.prefillPerToken, read)
+}
 
-// learnEvents learns the length of a stream; zero is no stream.
-func (s *service) learnEvents(events int) {
+// learnStreamLength learns the length of a stream; zero is no stream.
+func (s *service) learnStreamLength(events int) {
 	if events > 0 {
-		s.streamLength = s.usualEvents() + streamLengthRate*(float64(events)-s.usualEvents())
+		s.streamLength = s.expectedStreamLength() + streamLengthRate*(float64(events)-s.expectedStreamLength())
 	}
 }
 
-func (s *service) usualPace() time.Duration {
+func (s *service) expectedEventInterval() time.Duration {
 	if s.eventInterval > 0 {
 		return s.eventInterval
 	}
 	return defaultEventInterval
 }
 
-func (s *service) usualRead() time.Duration {
+func (s *service) expectedPrefillPerToken() time.Duration {
 	if s.prefillPerToken > 0 {
 		return s.prefillPerToken
 	}
 	return defaultPrefillPerToken
 }
 
-func (s *service) usualEvents() float64 {
+func (s *service) expectedStreamLength() float64 {
 	if s.streamLength > 0 {
 		return s.streamLength
 	}
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -48,7 +48,7 @@
 	if q.PromptTok >= leastPrompt && !q.queued && e.First > 0 {
 		read = e.First / time.Duration(q.PromptTok)
 		q.backend.learnRead(read)
-		r.serviceNamed(q.service).learnRead(read)
+		r.serviceState(q.service).learnPrefill(read)
 	}
 	if to := r.reportTarget(q); to != "" {
 		rep := q.newReport(0, -done)
@@ -65,9 +65,9 @@
 		return
 	}
 	if q.backend.samples == 0 {
-		r.serviceNamed(q.service).learnPace(e.Interval)
+		r.serviceState(q.service).learnEventInterval(e.Interval)
 	}
-	q.backend.learnInterval(e.Interval)
+	q.backend.learnEventInterval(e.Interval)
 }
 
 func (b *backend) learnRead(read time.Duration) { b.prefillPerToken = learned(b.prefillPerToken, read) }
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -105,7 +105,7 @@
 	other.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1, Speeds: told}})
 	require.Equal(t, 55*time.Millisecond, other.r.backends["e0"].interval)
 	require.Equal(t, 60*time.Microsecond, other.r.backends["e0"].prefillPerToken)
-	other.r.backends["e0"].learnInterval(11 * time.Millisecond)
+	other.r.backends["e0"].learnEventInterval(11 * time.Millisecond)
 	kept := other.r.backends["e0"].interval
 	other.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 2, Speeds: told}})
 	require.Equal(t, kept, other.r.backends["e0"].interval)
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -27,13 +27,13 @@
 	Digest, Workspace string
 	Ends              int           // that it explains, as far as they are remembered
 	Age               time.Duration // since the latest of them
-	Back              time.Duration // until it may run once to show that it does no harm
+	TrialIn           time.Duration // until it may run once to show that it does no harm
 }
 
 // PeerView is another host as this one sees it.
 type PeerView struct {
 	Host, Zone string
-	Heard      bool
+	Reachable  bool
 	Age        time.Duration
 }
 
@@ -48,10 +48,10 @@
 
 // View gathers what operators see.
 func (r *Router) View() View {
-	v := View{Version: r.version(), Era: r.updates.complete.Era, Digest: r.digest(), Ready: r.Ready(), Draining: r.drain != nil, Reading: r.updates.reading,
-		StoreOK: !r.updates.lost, StoreAge: -1, Requests: len(r.requests), Violations: r.invariants.Total(), Now: r.now}
-	if r.updates.heardAt > 0 {
-		v.StoreAge = r.now - r.updates.heardAt
+	v := View{Version: r.version(), Era: r.updates.completeTo.Era, Digest: r.digest(), Ready: r.Ready(), Draining: r.drain != nil, Reading: r.updates.reading,
+		StoreOK: !r.updates.storeLost, StoreAge: -1, Requests: len(r.requests), Violations: r.invariants.Total(), Now: r.now}
+	if r.updates.storeAnsweredAt > 0 {
+		v.StoreAge = r.now - r.updates.storeAnsweredAt
 	}
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -291,7 +291,7 @@
 	require.False(w.t, h.r.evacuated(b.Zone), "sent to a zone that is known to be evacuated")
 	require.False(w.t, h.told[b.ID], "sent to a server that has told this host that it leaves")
 	if b.removed {
-		require.Less(w.t, w.now-b.removedAt, doubtFor+worldStep, "sent to a server that is long gone")
+		require.Less(w.t, w.now-b.removedAt, lapsedGracePeriod+worldStep, "sent to a server that is long gone")
 	}
 	c.sends++
 	c.mayRun++
