--- a/internal/gateway/flight.go
+++ b/internal/gateway/flight.go
@@ -115,7 +115,7 @@
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded) && f.g.ended():
 		f.w.Header().Set("Connection", "close")
-		f.refuse(http.StatusRequestTimeout, string(router.ShutDown), router.DrainBack)
+		f.refuse(http.StatusRequestTimeout, string(router.ShutDown), router.DrainRetryAfter)
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.w.Header().Set("Connection", "close")
@@ -196,7 +196,7 @@
 	case f.mayHaveRun:
 		f.giveUp(router.GiveUp{Cause: cutByShutdown, DeliverFailure: true})
 	default:
-		f.refuse(http.StatusServiceUnavailable, string(router.ShutDown), router.DrainBack)
+		f.refuse(http.StatusServiceUnavailable, string(router.ShutDown), router.DrainRetryAfter)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -114,7 +114,7 @@
 // RejectShutdown answers a request that comes as the host ends: it has not run.
 func (g *Gateway) RejectShutdown(w http.ResponseWriter, r *http.Request) {
 	f := g.flightOf(w, r)
-	f.refuse(http.StatusServiceUnavailable, string(router.ShutDown), router.DrainBack)
+	f.refuse(http.StatusServiceUnavailable, string(router.ShutDown), router.DrainRetryAfter)
 }
 
 // table is the configuration in force; a host that has just started is given a moment to learn it.
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -110,7 +110,7 @@
 		c.log.Error().Str("violation", v).Msg("An invariant does not hold. Report this with the log.")
 	}
 	c.ready.Store(c.router.Ready())
-	c.suspects.Store(c.router.Suspects())
+	c.suspects.Store(c.router.HasSuspects())
 }
 
 func (c *control) execute(eff router.Effect) {
--- a/internal/router/ask.go
+++ b/internal/router/ask.go
@@ -91,7 +91,7 @@
 		if owner == "" || slices.Contains(owners, owner) || slices.Contains(q.fullOwners, owner) || !r.canAsk(owner) || !r.assignable(q, b) {
 			continue
 		}
-		if r.now-r.statusOf(owner).fullAt[q.bucket()] >= fullTTL {
+		if r.now-r.statusOf(owner).fullAt[q.priority()] >= fullTTL {
 			owners = append(owners, owner)
 		}
 	}
@@ -108,8 +108,8 @@
 }
 
 func (r *Router) requestSlot(q *request, owner string, worst class) {
-	a := &slotRequest{ownerCall{number: r.slotRequests.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.bucket(), q.PromptTok}
-	q.asking = a
+	a := &slotRequest{ownerCall{number: r.slotRequests.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.priority(), q.PromptTok}
+	q.slotCall = a
 	r.slotRequests.add(a)
 	r.announceToOwner(owner)
 	r.emit(Send{To: []string{owner}, Packet: &gossippb.Packet{Ask: &gossippb.Ask{
@@ -122,7 +122,7 @@
 
 // announceToOwner sends a beat to an owner of another zone, which knows this host only while it has requests there.
 func (r *Router) announceToOwner(owner string) {
-	if zone := r.members.zoneOf[owner]; zone == "" || r.exchangesHeartbeats(zone) || r.now < r.owners.knownUntil[owner] {
+	if zone := r.members.zoneOf[owner]; zone == "" || r.exchangesHeartbeats(zone) || r.now < r.owners.announcedUntil[owner] {
 		return
 	}
 	r.sendCrossZoneHeartbeat([]string{owner})
@@ -132,7 +132,7 @@
 // its zone's sums.
 func (r *Router) sendCrossZoneHeartbeat(to []string) {
 	for _, owner := range to {
-		r.owners.knownUntil[owner] = r.now + r.heartbeatInterval()
+		r.owners.announcedUntil[owner] = r.now + r.heartbeatInterval()
 	}
 	r.emitHeartbeat(to, func(*gossippb.Beat) {})
 }
@@ -159,7 +159,7 @@
 			continue
 		}
 		ok, _ := b.usable(r.now)
-		if !ok || r.now < b.unreachable || r.now < b.avoidUntil || slices.Contains(q.tried, b.ID) {
+		if !ok || r.now < b.unreachableUntil || r.now < b.avoidUntil || slices.Contains(q.tried, b.ID) {
 			out = append(out, b.hash)
 		}
 	}
@@ -192,10 +192,10 @@
 func (r *Router) slotRequestTimedOut(a *slotRequest) {
 	r.replyMissed(a.owner)
 	q, ok := r.requests[a.requestID]
-	if !ok || q.asking != a {
+	if !ok || q.slotCall != a {
 		return
 	}
-	q.asking = nil
+	q.slotCall = nil
 	if r.isLocalOwner(a.owner) {
 		q.decideLocally = true
 	} else {
@@ -213,7 +213,7 @@
 	return r.opt.Zone
 }
 
-func (r *Router) isLocalOwner(host string) bool { return slices.Contains(r.ownShards(), host) }
+func (r *Router) isLocalOwner(host string) bool { return slices.Contains(r.localShardOwners(), host) }
 
 // handleOffer takes an owner's answer.
 func (r *Router) handleOffer(from string, offer *gossippb.Offer) {
@@ -225,13 +225,13 @@
 	if offer.Place == nil {
 		r.statusOf(from).fullAt[a.priority] = r.now
 	}
-	r.takeOwnersWords(offer.Full)
+	r.applyOwnerLoads(offer.Full)
 	q, known := r.requests[a.requestID]
-	if !known || q.asking != a {
+	if !known || q.slotCall != a {
 		r.returnSlot(a, offer)
 		return
 	}
-	q.asking = nil
+	q.slotCall = nil
 	b := r.byHash[offer.GetPlace().GetBackend()]
 	if offer.Place == nil || b == nil || !r.usableFor(q, b) {
 		// There is no place, or it is at a backend server that drains or is gone, which the owner has not heard.
@@ -241,7 +241,7 @@
 		return
 	}
 	reported := loadFromProto(offer.Place)
-	r.takeOwnersWord(b, reported)
+	r.applyOwnerLoad(b, reported)
 	q.owner = from
 	g := r.grounds()
 	g.InFlight, g.Limit, g.Wait = reported.total(), int(offer.Limit), time.Duration(offer.WaitUs)*time.Microsecond
--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -46,7 +46,7 @@
 	prefillPerToken time.Duration
 	// reportedSpeed is the speed that this host last reportedSpeed others.
 	reportedSpeed speed
-	failing
+	failureState
 	// replaced tells that another instance has its address: this one never comes back.
 	replaced bool
 	// leaving tells that it has said in an answer that it leaves, to this host if announcedLeaving, or to another one.
@@ -58,7 +58,7 @@
 	warming   coldState
 	// exited tells that its process has exited without leaving; broken are requests that broke there before that was known.
 	exited     bool
-	brokenRuns []brokenRun
+	brokenRuns []brokenRequest
 	// probedUntil is until when it is not asked again whether it can be reached.
 	probedUntil time.Duration
 }
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -48,7 +48,7 @@
 // sendHeartbeats tells the hosts that this one talks to directly what it carries.
 func (r *Router) sendHeartbeats() {
 	peers, period, perHost := time.Duration(len(r.zonePeers())), r.heartbeatInterval(), changeGapPerHost
-	if r.sharing() {
+	if r.usesOwners() {
 		perHost = joinGapPerHost
 	}
 	r.heartbeatAt, r.quotaLowHeartbeatAt = r.now+period, r.now+period/2
@@ -60,18 +60,18 @@
 	}
 	r.emitHeartbeat(to, func(b *gossippb.Beat) {
 		b.Spent = r.ownSpent()
-		if all := r.allSuspects(); all != nil {
+		if all := r.fullSuspectList(); all != nil {
 			b.Suspects = all
 		}
-		if !r.sharing() {
-			b.Speeds = r.newSpeeds()
+		if !r.usesOwners() {
+			b.Speeds = r.changedSpeeds()
 		}
 		if r.now >= r.zones.peersAt {
 			b.Peers = r.knownPeers()
 			r.zones.peersAt = r.now + max(peerExchangeInterval, peerExchangeIntervalPerHost*peers)
 		}
 	})
-	if r.sharing() {
+	if r.usesOwners() {
 		r.sendCrossZoneHeartbeat(r.remoteOwnersWithLoad())
 	}
 }
@@ -79,7 +79,7 @@
 // heartbeatInterval is the time between two beats that nothing brings forward.
 func (r *Router) heartbeatInterval() time.Duration {
 	peers := time.Duration(len(r.zonePeers()))
-	if r.sharing() {
+	if r.usesOwners() {
 		return min(maxOwnersInterval, max(minHeartbeatInterval, ownersIntervalPerHost*peers))
 	}
 	return min(maxHeartbeatInterval, max(minHeartbeatInterval, heartbeatIntervalPerHost*peers))
@@ -87,7 +87,7 @@
 
 // markLoadChanged lets a small fleet hear at once that this host carries something else than its last beat
 // said. In a large one the owners of backend servers hear of each request instead.
-func (r *Router) markLoadChanged() { r.heartbeatPending = r.heartbeatPending || !r.sharing() }
+func (r *Router) markLoadChanged() { r.heartbeatPending = r.heartbeatPending || !r.usesOwners() }
 
 // sendEarlyHeartbeat sends a beat ahead of its time where what this host carries has changed.
 func (r *Router) sendEarlyHeartbeat() {
@@ -110,8 +110,8 @@
 		Dead: r.ownUnreachable(), AgeMs: r.uptimeMs(), Suspects: r.newSuspects(),
 		Leaves: r.ownLeaving(), Evacuations: r.evacuationsToSend(),
 	}
-	if !r.sharing() {
-		b.Failing = r.hashesOf(func(b *backend) bool { return b.fails() })
+	if !r.usesOwners() {
+		b.Failing = r.hashesOf(func(b *backend) bool { return b.isFailing() })
 	}
 	fill(b)
 	r.emit(SendHeartbeat{To: to, Heartbeat: b})
@@ -167,7 +167,7 @@
 
 // ownUnreachable are the backend servers that this host lately could not connect to, or whose address another has.
 func (r *Router) ownUnreachable() []uint32 {
-	return r.hashesOf(func(b *backend) bool { return r.now < b.unreachable || b.replaced })
+	return r.hashesOf(func(b *backend) bool { return r.now < b.unreachableUntil || b.replaced })
 }
 
 // uptimeMs is how long this host has run, as beats tell it.
@@ -178,7 +178,7 @@
 func (r *Router) ownSpent() []*gossippb.Spent {
 	var out []*gossippb.Spent
 	r.spentReports++
-	full := !r.sharing() || r.spentReports%fullSpentHeartbeats == 0
+	full := !r.usesOwners() || r.spentReports%fullSpentHeartbeats == 0
 	for _, name := range r.quotaNames() {
 		q := r.quotas[name]
 		if s := uint64(q.Spent()); s > 0 && (full || s != r.reportedSpent[name]) {
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -23,7 +23,7 @@
 			for i, be := range r.allBackends() {
 				be.othersLoad.counts[0] = i % 5
 				be.learnEventInterval(time.Duration(10+i%7) * time.Millisecond)
-				be.learnRead(time.Duration(10+i%5) * time.Microsecond)
+				be.learnPrefillTime(time.Duration(10+i%5) * time.Microsecond)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -50,7 +50,7 @@
 			h.Reduce(z.now, n)
 			word := &gossippb.Occupancy{}
 			for _, be := range h.allBackends()[:10] {
-				word.Loads = append(word.Loads, be.carried().toProto(be.hash))
+				word.Loads = append(word.Loads, be.totalLoad().toProto(be.hash))
 			}
 			from := h.zonePeers()[0]
 			b.ReportAllocs()
--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -112,7 +112,7 @@
 	f.back(2, f.zoneHosts(2)[:2]...)
 	f.run(testColdFor, 280)
 	most, sent := f.crowded(2, at, f.now)
-	require.LessOrEqual(t, float64(most), testColdRate+coldSenders)
+	require.LessOrEqual(t, float64(most), testColdRate+maxColdSenders)
 	require.Greater(t, sent, 15, "they are of use while they are cold")
 	f.run(2*time.Second, 280)
 	_, after := f.crowded(2, at+testColdFor, f.now)
@@ -199,8 +199,8 @@
 	r.Reduce(time.Second, Tick{})
 	_, refused := has[Refuse](submitted(r, 1, time.Second))
 	require.True(t, refused)
-	r.Reduce(coldAge+time.Second, Tick{})
-	dispatchOf(t, submitted(r, 2, coldAge+time.Second))
+	r.Reduce(minColdSenderAge+time.Second, Tick{})
+	dispatchOf(t, submitted(r, 2, minColdSenderAge+time.Second))
 }
 
 // An owner has no places at cold backend servers for others: who asks may be any host.
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -78,7 +78,7 @@
 		}
 		b.evacuated = !e.Ended
 		if e.Ended {
-			r.presumeCold(b)
+			r.assumeCold(b)
 		}
 	}
 }
--- a/internal/router/failing_test.go
+++ b/internal/router/failing_test.go
@@ -132,16 +132,16 @@
 	b := h.backends["e004"]
 	require.Equal(t, "z1", b.Zone)
 	owner := z.byIP[h.ownerOf(b)]
-	for range failuresToAvoid {
-		owner.r.noteFailed(owner.r.backends["e004"])
+	for range suspectAfterFailures {
+		owner.r.recordFailure(owner.r.backends["e004"])
 	}
 	z.run(time.Second, 0)
 	require.True(t, b.suspect(h.now))
-	z.run(2*avoidMost, 0)
+	z.run(2*maxAvoidDuration, 0)
 	require.True(t, b.suspect(h.now), "until the owner trusts it again")
-	for range trialsToTrust {
+	for range probationSuccesses {
 		owner.r.backends["e004"].succeeded(owner.r.now)
 	}
-	z.run(2*failingStale, 0)
+	z.run(2*ownerFailingTTL, 0)
 	require.False(t, b.suspect(h.now))
 }
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -44,7 +44,7 @@
 		b.prompt(1 << 30)
 		for _, e := range b.r.allBackends() {
 			s := b.r.newSelector(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, scopeAll)
-			require.Positive(t, s.waitAt(e, e.inFlight()), "an overflow would make it look idle")
+			require.Positive(t, s.predictedWait(e, e.inFlight()), "an overflow would make it look idle")
 		}
 		b.now += time.Minute
 		b.post(Tick{})
@@ -91,9 +91,9 @@
 		b.prompt(1 << 30)
 		for _, e := range b.r.allBackends() {
 			require.GreaterOrEqual(t, e.inFlight(), 0)
-			require.GreaterOrEqual(t, e.unread(b.now), 0)
+			require.GreaterOrEqual(t, e.prefillBacklog(b.now), 0)
 			s := b.r.newSelector(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, scopeAll)
-			require.Positive(t, s.waitAt(e, e.inFlight()), "an overflow would make it look idle")
+			require.Positive(t, s.predictedWait(e, e.inFlight()), "an overflow would make it look idle")
 		}
 		b.now += time.Minute
 		b.post(Tick{})
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -23,9 +23,9 @@
 		r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: &gossippb.Offer{Number: a.Number, Full: r.ownedLoads(a.Service)}}})
 		return
 	}
-	o := &gossippb.Offer{Number: a.Number, Place: c.backend.carried().toProto(c.backend.hash), Limit: uint32(max(0, c.grounds.Limit)),
+	o := &gossippb.Offer{Number: a.Number, Place: c.backend.totalLoad().toProto(c.backend.hash), Limit: uint32(max(0, c.grounds.Limit)),
 		WaitUs: uint32(max(0, c.grounds.Wait).Microseconds())}
-	r.adjustLoad(m, c.backend.hash, q.bucket(), 1, q.PromptTok)
+	r.adjustLoad(m, c.backend.hash, q.priority(), 1, q.PromptTok)
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: o}})
 }
 
@@ -61,7 +61,7 @@
 	var out []*gossippb.Load
 	for _, b := range r.zoneBackendsOf(service) {
 		if r.owns(b) {
-			out = append(out, b.carried().toProto(b.hash))
+			out = append(out, b.totalLoad().toProto(b.hash))
 		}
 	}
 	return out
@@ -107,10 +107,10 @@
 	case gossippb.Outcome_OUTCOME_SOUND:
 		b.succeeded(r.now - time.Duration(rep.AgeMs)*time.Millisecond)
 	case gossippb.Outcome_OUTCOME_FAULTY:
-		r.noteFailed(b)
+		r.recordFailure(b)
 	case gossippb.Outcome_OUTCOME_REPLACED:
 		b.replaced = true
-		r.backendEnded(b)
+		r.recordBackendEnd(b)
 	case gossippb.Outcome_OUTCOME_UNREACHABLE:
 		if known && !slices.Contains(m.deadBackends, rep.Backend) {
 			r.applyDead(m, append(slices.Clone(m.deadBackends), rep.Backend))
@@ -124,8 +124,8 @@
 		b.learnEventInterval(pace)
 		svc.learnEventInterval(pace)
 	}
-	if read := time.Duration(rep.ReadNs); read > 0 && read <= mostRead {
-		b.learnRead(read)
+	if read := time.Duration(rep.ReadNs); read > 0 && read <= maxPrefillTime {
+		b.learnPrefillTime(read)
 		svc.learnPrefill(read)
 	}
 	svc.learnStreamLength(int(min(rep.Events, maxEvents)))
@@ -152,13 +152,13 @@
 // newReport is a report of a request by its backend server: requests and prompt tokens that came there, or
 // with a minus ended.
 func (q *request) newReport(requests, unread int) *gossippb.Report {
-	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.bucket()), Requests: int32(requests), Unread: int32(unread)}
+	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.priority()), Requests: int32(requests), Unread: int32(unread)}
 }
 
 // reportAssigned tells the owner of a request that was placed without asking it.
 func (r *Router) reportAssigned(q *request) {
 	if to := r.reportTarget(q); to != "" && q.owner == "" {
-		r.sendReport(to, q.newReport(1, q.unread))
+		r.sendReport(to, q.newReport(1, q.prefillTokens))
 	}
 }
 
@@ -168,10 +168,10 @@
 	if to == "" {
 		return
 	}
-	rep := q.newReport(-1, -q.unread)
+	rep := q.newReport(-1, -q.prefillTokens)
 	rep.Outcome, rep.AgeMs = reportOutcome(e), uint32((r.now - q.sentAt).Milliseconds())
 	if e.Outcome == Answered {
-		rep.IntervalUs, rep.Events = uint32(paceOf(q, e).Microseconds()), uint32(e.Events)
+		rep.IntervalUs, rep.Events = uint32(observedInterval(q, e).Microseconds()), uint32(e.Events)
 	}
 	r.sendReport(to, rep)
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -194,11 +194,11 @@
 	}
 	r.applyLoads(m, b.Loads)
 	r.applyDead(m, b.Dead)
-	r.takeFailing(m, b.Failing)
-	r.takeSpeeds(b.Speeds)
+	r.applyFailing(m, b.Failing)
+	r.applySpeeds(b.Speeds)
 	r.applySpent(m, b.Spent, returned)
 	r.applyZoneSummaries(m.zone, b.Zones)
-	r.takeSuspects(b.Suspects)
+	r.applySuspects(b.Suspects)
 	r.applyLeaving(m.host, b.Leaves)
 	r.applyEvacuations(m.host, b.Evacuations)
 	r.compareDigests(m, b)
@@ -228,7 +228,7 @@
 
 // applyDead takes which backend servers a host cannot reach.
 func (r *Router) applyDead(m *member, dead []uint32) {
-	r.updateReportCounts(m.deadBackends, dead, func(b *backend) *int { return &b.saidDead })
+	r.updateReportCounts(m.deadBackends, dead, func(b *backend) *int { return &b.unreachableReports })
 	m.deadBackends = dead
 }
 
@@ -306,7 +306,7 @@
 			r.addOthersLoads(m.loads, -1)
 			m.loads = nil
 			r.applyDead(m, nil)
-			r.takeFailing(m, nil)
+			r.applyFailing(m, nil)
 			r.emit(Note{What: "host silent", Subject: host, Age: quiet})
 		}
 		if quiet > hostTTL || (m.unreachable && m.leaving) {
@@ -320,7 +320,7 @@
 func (r *Router) removeMember(m *member) {
 	r.addOthersLoads(m.loads, -1)
 	r.applyDead(m, nil)
-	r.takeFailing(m, nil)
+	r.applyFailing(m, nil)
 	for _, q := range r.quotas {
 		q.Forget(m.quotaKey)
 	}
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -17,21 +17,21 @@
 	// among unlike engines, and with twice as many a small host would answer for a fifth of its zone's
 	// requests.
 	shardSize = 10
-	// ownerAge is how long a host must have run to own backend servers: one that has just started has not
+	// minOwnerAge is how long a host must have run to own backend servers: one that has just started has not
 	// heard from its zone mates what they carry, and takes every engine for idle.
-	ownerAge = 1500 * time.Millisecond
-	// ownerAgeLeast is enough where no host of the zone is older: all have started together, and whoever
+	minOwnerAge = 1500 * time.Millisecond
+	// minOwnerAgeAtStart is enough where no host of the zone is older: all have started together, and whoever
 	// owns an engine hears of each request there from the first one on.
-	ownerAgeLeast = 300 * time.Millisecond
-	// occupancyEvery is the period at which owners tell their zone what their backend servers carry. It only
+	minOwnerAgeAtStart = 300 * time.Millisecond
+	// minOccupancyInterval is the period at which owners tell their zone what their backend servers carry. It only
 	// decides which owner is asked first: the owner itself knows. occupancyPerHost stretches it with the zone's hosts,
 	// so that a host hears the same number of words a second, however many owners there are.
-	occupancyEvery   = 250 * time.Millisecond
-	occupancyPerHost = 5 * time.Millisecond
-	// occupancyStale is after how many periods an owner's word no longer counts.
-	occupancyStale = 4
-	// speedsEvery is how many of an owner's words pass between two that tell all speeds; the others tell those that have changed.
-	speedsEvery = 16
+	minOccupancyInterval     = 250 * time.Millisecond
+	occupancyIntervalPerHost = 5 * time.Millisecond
+	// occupancyStaleIntervals is after how many periods an owner's word no longer counts.
+	occupancyStaleIntervals = 4
+	// messagesPerFullSpeeds is how many of an owner's words pass between two that tell all speeds; the others tell those that have changed.
+	messagesPerFullSpeeds = 16
 )
 
 // ownerStatus is how an owner has answered this host.
@@ -45,13 +45,13 @@
 
 // statusOf is how an owner has answered so far.
 func (r *Router) statusOf(owner string) *ownerStatus {
-	t, ok := r.owners.trust[owner]
+	t, ok := r.owners.status[owner]
 	if !ok {
 		t = &ownerStatus{}
 		for p := range t.fullAt {
 			t.fullAt[p] = -fullTTL
 		}
-		r.owners.trust[owner] = t
+		r.owners.status[owner] = t
 	}
 	return t
 }
@@ -61,39 +61,39 @@
 // older belief, as if the host had decided alone.
 type ownerState struct {
 	valid bool
-	// until is when a host comes of age that may own some, so that owners must be computed anew.
-	until time.Duration
-	// hosts are those that may own, and ofAge tells that they have run for ownerAge.
-	hosts []string
-	ofAge bool
+	// recomputeAt is when a host comes of age that may own some, so that owners must be computed anew.
+	recomputeAt time.Duration
+	// candidates are those that may own, and ofAge tells that they have run for ownerAge.
+	candidates  []string
+	established bool
 	// byShard are the owners' IP numbers; empty where no host has run for long enough. shards are the backend servers.
 	byShard []string
 	shards  [][]*backend
-	// owned is how many shards this host owns, and mine their backend servers.
-	owned int
-	mine  []*backend
-	// tellAt is when this host next tells what its backend servers carry, and told counts its words.
-	tellAt time.Duration
-	told   int
+	// ownedShards is how many shards this host owns, and mine their backend servers.
+	ownedShards   int
+	ownedBackends []*backend
+	// nextOccupancyAt is when this host next tells what its backend servers carry, and told counts its words.
+	nextOccupancyAt time.Duration
+	occupancySent   int
 	// expireAt is when words of owners that have fallen silent are next looked for.
 	expireAt time.Duration
-	trust    map[string]*ownerStatus
-	// knownUntil is until when owners of other zones know this host by its last beat.
-	knownUntil map[string]time.Duration
+	status   map[string]*ownerStatus
+	// announcedUntil is until when owners of other zones know this host by its last beat.
+	announcedUntil map[string]time.Duration
 }
 
 func newOwnerState() ownerState {
-	return ownerState{trust: map[string]*ownerStatus{}, knownUntil: map[string]time.Duration{}}
+	return ownerState{status: map[string]*ownerStatus{}, announcedUntil: map[string]time.Duration{}}
 }
 
-// sharing tells whether backend servers have owners that are asked for places. In a small fleet every host
+// usesOwners tells whether backend servers have owners that are asked for places. In a small fleet every host
 // tells each change to all others instead, which grows with the square of the hosts.
-func (r *Router) sharing() bool { return r.largeFleet() }
+func (r *Router) usesOwners() bool { return r.largeFleet() }
 
 // ownerOf is the host that owns a backend server; empty where none is known. Other zones name theirs in their
 // sums.
 func (r *Router) ownerOf(b *backend) string {
-	if !r.sharing() {
+	if !r.usesOwners() {
 		return ""
 	}
 	if b.Zone != r.opt.Zone {
@@ -103,19 +103,19 @@
 		}
 		return z.owners[b.hash%uint32(len(z.owners))]
 	}
-	return r.ownShards()[b.hash%uint32(len(r.owners.byShard))]
+	return r.localShardOwners()[b.hash%uint32(len(r.owners.byShard))]
 }
 
-// ownShards are the owners of this zone's backend servers.
-func (r *Router) ownShards() []string {
-	if !r.owners.valid || r.now >= r.owners.until {
+// localShardOwners are the owners of this zone's backend servers.
+func (r *Router) localShardOwners() []string {
+	if !r.owners.valid || r.now >= r.owners.recomputeAt {
 		r.computeOwners()
 	}
 	return r.owners.byShard
 }
 
-// outOfReach tells that another zone's owner does not answer: its zone is most likely cut off.
-func (r *Router) outOfReach(b *backend) bool {
+// remoteOwnerUnresponsive tells that another zone's owner does not answer: its zone is most likely cut off.
+func (r *Router) remoteOwnerUnresponsive(b *backend) bool {
 	if b.Zone == r.opt.Zone {
 		return false
 	}
@@ -124,10 +124,10 @@
 }
 
 func (r *Router) owns(b *backend) bool {
-	if !r.sharing() || b.Zone != r.opt.Zone {
+	if !r.usesOwners() || b.Zone != r.opt.Zone {
 		return false
 	}
-	r.ownShards()
+	r.localShardOwners()
 	return b.owned
 }
 
@@ -145,23 +145,23 @@
 	if len(r.owners.byShard) != shards {
 		r.owners.byShard = make([]string, shards)
 	}
-	hosts := r.ownersOfAge()
-	r.owners.hosts = hosts
+	hosts := r.eligibleOwners()
+	r.owners.candidates = hosts
 	clear(r.limits.owners)
-	owned := r.owners.owned
-	r.owners.owned = 0
+	owned := r.owners.ownedShards
+	r.owners.ownedShards = 0
 	for s := range r.owners.byShard {
-		owner, _ := bestTwo(hosts, uint64(s))
+		owner, _ := rendezvousTopTwo(hosts, uint64(s))
 		r.owners.byShard[s] = owner
 		if owner == r.opt.Host {
-			r.owners.owned++
+			r.owners.ownedShards++
 		}
 	}
 	r.owners.valid = true
-	if r.owners.owned != owned {
-		r.emit(Note{What: "owns backend servers", Detail: fmt.Sprintf("%d of %d shards", r.owners.owned, shards)})
+	if r.owners.ownedShards != owned {
+		r.emit(Note{What: "owns backend servers", Detail: fmt.Sprintf("%d of %d shards", r.owners.ownedShards, shards)})
 	}
-	r.owners.mine = r.owners.mine[:0]
+	r.owners.ownedBackends = r.owners.ownedBackends[:0]
 	r.owners.shards = make([][]*backend, shards)
 	for _, b := range zone {
 		shard := b.hash % uint32(shards)
@@ -169,7 +169,7 @@
 		b.owned = r.owners.byShard[shard] == r.opt.Host
 		if b.owned {
 			b.useOwnerReport = false
-			r.owners.mine = append(r.owners.mine, b)
+			r.owners.ownedBackends = append(r.owners.ownedBackends, b)
 		}
 	}
 }
@@ -177,21 +177,21 @@
 // never is a moment that does not come.
 const never = time.Duration(math.MaxInt64)
 
-// ownersOfAge are the hosts of this zone that may own backend servers: those that have run for ownerAge, or where there is
+// eligibleOwners are the hosts of this zone that may own backend servers: those that have run for ownerAge, or where there is
 // none, for ownerAgeLeast. It notes when the next one comes of age.
-func (r *Router) ownersOfAge() []string {
+func (r *Router) eligibleOwners() []string {
 	var old, young []string
-	r.owners.until = never
+	r.owners.recomputeAt = never
 	consider := func(host string, bornAt time.Duration) {
 		switch age := r.now - bornAt; {
-		case age >= ownerAge:
+		case age >= minOwnerAge:
 			old = append(old, host)
 			return
-		case age >= ownerAgeLeast:
+		case age >= minOwnerAgeAtStart:
 			young = append(young, host)
-			r.owners.until = min(r.owners.until, bornAt+ownerAge)
+			r.owners.recomputeAt = min(r.owners.recomputeAt, bornAt+minOwnerAge)
 		default:
-			r.owners.until = min(r.owners.until, bornAt+ownerAgeLeast)
+			r.owners.recomputeAt = min(r.owners.recomputeAt, bornAt+minOwnerAgeAtStart)
 		}
 	}
 	if r.drain == nil {
@@ -202,18 +202,18 @@
 			consider(h, m.startedAt)
 		}
 	}
-	r.owners.ofAge = len(old) > 0
-	if r.owners.ofAge {
+	r.owners.established = len(old) > 0
+	if r.owners.established {
 		return old
 	}
 	return young
 }
 
-// bestTwo are a shard's owner among some hosts, and the next; empty where there are not so many.
-func bestTwo(hosts []string, shard uint64) (first, second string) {
+// rendezvousTopTwo are a shard's owner among some hosts, and the next; empty where there are not so many.
+func rendezvousTopTwo(hosts []string, shard uint64) (first, second string) {
 	var best, next uint64
 	for _, host := range hosts {
-		switch v := shardRank(host, shard); {
+		switch v := rendezvousHash(host, shard); {
 		case first == "" || v > best:
 			first, best, second, next = host, v, first, best
 		case second == "" || v > next:
@@ -223,93 +223,93 @@
 	return first, second
 }
 
-// shardRank mixes a host with a shard, so that each shard orders the hosts in its own way.
-func shardRank(host string, shard uint64) uint64 {
+// rendezvousHash mixes a host with a shard, so that each shard orders the hosts in its own way.
+func rendezvousHash(host string, shard uint64) uint64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:8], xxhash.Sum64String(host))
 	binary.LittleEndian.PutUint64(key[8:], shard)
 	return xxhash.Sum64(key[:])
 }
 
-// tellOccupancy tells the zone what this host's backend servers carry.
-func (r *Router) tellOccupancy() {
-	if !r.sharing() || r.now < r.owners.tellAt {
+// sendOccupancy tells the zone what this host's backend servers carry.
+func (r *Router) sendOccupancy() {
+	if !r.usesOwners() || r.now < r.owners.nextOccupancyAt {
 		return
 	}
-	r.owners.tellAt = r.now + r.occupancyPeriod()
+	r.owners.nextOccupancyAt = r.now + r.occupancyInterval()
 	o := &gossippb.Occupancy{All: true}
-	whole := r.owners.told%speedsEvery == 0
-	r.ownShards()
-	for _, b := range r.owners.mine {
+	whole := r.owners.occupancySent%messagesPerFullSpeeds == 0
+	r.localShardOwners()
+	for _, b := range r.owners.ownedBackends {
 		if b.removed {
 			continue
 		}
-		if all := b.carried(); all != (load{}) {
+		if all := b.totalLoad(); all != (load{}) {
 			o.Loads = append(o.Loads, all.toProto(b.hash))
 		}
-		if b.samples > 0 && (whole || b.speed().differs(b.reportedSpeed)) {
+		if b.samples > 0 && (whole || b.speed().differsFrom(b.reportedSpeed)) {
 			b.reportedSpeed = b.speed()
 			o.Speeds = append(o.Speeds, b.speedMessage())
 		}
 	}
-	if len(r.owners.mine) == 0 {
+	if len(r.owners.ownedBackends) == 0 {
 		return
 	}
-	for _, b := range r.owners.mine {
-		if !b.removed && b.fails() {
+	for _, b := range r.owners.ownedBackends {
+		if !b.removed && b.isFailing() {
 			o.Failing = append(o.Failing, b.hash)
 		}
 	}
-	r.owners.told++
+	r.owners.occupancySent++
 	r.emit(Send{To: r.zonePeers(), Packet: &gossippb.Packet{Occupancy: o}})
 }
 
-// carried is what a backend server is believed to carry, requests of all hosts together.
-func (b *backend) carried() load {
+// totalLoad is what a backend server is believed to carry, requests of all hosts together.
+func (b *backend) totalLoad() load {
 	all := b.loadOfOthers()
 	all.add(b.ownLoad)
 	return all
 }
 
-// takeOccupancy takes an owner's word of what its backend servers carry.
-func (r *Router) takeOccupancy(from string, o *gossippb.Occupancy) {
+// handleOccupancy takes an owner's word of what its backend servers carry.
+func (r *Router) handleOccupancy(from string, o *gossippb.Occupancy) {
 	if o.All {
-		r.takeAllOf(from, loadsFromProto(o.Loads))
+		r.applyFullOccupancy(from, loadsFromProto(o.Loads))
 	} else {
-		r.takeOwnersWords(o.Loads)
+		r.applyOwnerLoads(o.Loads)
 	}
-	r.takeOwnersFailing(o.Failing)
+	r.applyOwnerFailing(o.Failing)
 	for _, s := range o.Speeds {
 		if b, ok := r.byHash[s.Backend]; ok && r.ownerOf(b) == from {
-			b.takeSpeed(s)
+			b.applyOwnerSpeed(s)
 		}
 	}
 }
 
-// takeAllOf takes an owner's word of all its backend servers; those that it does not name carry nothing.
-func (r *Router) takeAllOf(owner string, told loads) {
-	for shard, o := range r.ownShards() {
+// applyFullOccupancy takes an owner's word of all its backend servers; those that it does not name carry nothing.
+func (r *Router) applyFullOccupancy(owner string, told loads) {
+	for shard, o := range r.localShardOwners() {
 		if o != owner {
 			continue
 		}
 		for _, b := range r.owners.shards[shard] {
-			r.takeOwnersWord(b, told[b.hash])
+			r.applyOwnerLoad(b, told[b.hash])
 		}
 	}
 }
 
-// takeOwnersWords takes what an owner says of several backend servers.
-func (r *Router) takeOwnersWords(list []*gossippb.Load) {
+// applyOwnerLoads takes what an owner says of several backend servers.
+func (r *Router) applyOwnerLoads(list []*gossippb.Load) {
 	for _, l := range list {
 		if b, ok := r.byHash[l.Backend]; ok {
-			r.takeOwnersWord(b, loadFromProto(l))
+			r.applyOwnerLoad(b, loadFromProto(l))
 		}
 	}
 }
 
-// takeOwnersWord replaces what is believed of others' requests at a backend server. This host's own ones
+// applyOwnerLoad replaces what is believed of others' requests at a backend server. This host's own ones
 // are in the owner's word too.
-func (r *Router) takeOwnersWord(b *backend, all load) {
+func (r *Router) applyOwnerLoad(b *backend, all load) {
 	if r.owns(b) {
 		return
 	}
@@ -320,18 +320,18 @@
 	b.useOwnerReport, b.ownerLoad, b.ownerReportedAt = true, all, r.now
 }
 
-// occupancyPeriod is the time between two words of an owner that nothing brings forward.
-func (r *Router) occupancyPeriod() time.Duration {
-	return max(occupancyEvery, occupancyPerHost*time.Duration(len(r.zonePeers())))
+// occupancyInterval is the time between two words of an owner that nothing brings forward.
+func (r *Router) occupancyInterval() time.Duration {
+	return max(minOccupancyInterval, occupancyIntervalPerHost*time.Duration(len(r.zonePeers())))
 }
 
-// expireOccupancy goes back to what the other hosts' beats say where an owner has fallen silent.
-func (r *Router) expireOccupancy() {
+// expireOwnerLoads goes back to what the other hosts' beats say where an owner has fallen silent.
+func (r *Router) expireOwnerLoads() {
 	if r.now < r.owners.expireAt {
 		return
 	}
-	r.owners.expireAt = r.now + occupancyEvery
-	stale := occupancyStale * r.occupancyPeriod()
+	r.owners.expireAt = r.now + minOccupancyInterval
+	stale := occupancyStaleIntervals * r.occupancyInterval()
 	for _, b := range r.allBackends() {
 		told := b.Zone != r.opt.Zone && !r.zoneUnreachable(b.Zone) // in its zone's sums, not in each
 		if b.useOwnerReport && !told && r.now-b.ownerReportedAt > stale {
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -82,7 +82,7 @@
 		return slots * plainRequestsPerSlot
 	}
 	extra := headroom - int(headroomPerRank*s.q.Rank+0.5)
-	if interval := s.turnover(b); extra > 0 && s.q.Route.Target > 0 {
+	if interval := s.slotReleaseInterval(b); extra > 0 && s.q.Route.Target > 0 {
 		extra = min(extra, int(maxWaitShare*float64(s.q.Route.Target)/float64(interval)+0.5))
 	}
 	return max(1, slots+extra)
@@ -105,11 +105,11 @@
 func (s *selector) classOf(b *backend, doubtful bool) class {
 	now := s.r.now
 	switch {
-	case b.dead(now):
+	case b.isUnreachable(now):
 		return classUnreachable
 	case doubtful:
 		return classDoubtful
-	case b.suspect(now) || s.r.zoneUnreachable(b.Zone) || s.r.outOfReach(b) || (b.onProbation() && s.probationLimitReached(b)):
+	case b.suspect(now) || s.r.zoneUnreachable(b.Zone) || s.r.remoteOwnerUnresponsive(b) || (b.onProbation() && s.probationLimitReached(b)):
 		return classSuspect
 	case s.tooSlow(b):
 		return classSlow
@@ -122,9 +122,9 @@
 // has served. They count if they are this host's, or at its owner, which places everybody's, anybody's.
 func (s *selector) probationLimitReached(b *backend) bool {
 	if s.scope == scopeOwned {
-		return b.inFlight() > b.trials
+		return b.inFlight() > b.successes
 	}
-	return b.ownLoad.total() > b.trials
+	return b.ownLoad.total() > b.successes
 }
 
 // selector is the choice of a backend server for one request.
@@ -193,7 +193,7 @@
 		if len(list) > 0 {
 			b := s.pickBest(list)
 			g.InFlight, g.Limit = b.inFlight(), s.requestLimit(b)
-			g.Wait = s.waitAt(b, g.InFlight)
+			g.Wait = s.predictedWait(b, g.InFlight)
 			return selection{b, class(c), g}
 		}
 	}
@@ -237,7 +237,7 @@
 	if g.InFlight < 0 || held < g.InFlight {
 		g.InFlight, g.Limit = held, limit
 	}
-	cold := b.cold(s.r.now) && (s.scope == scopeOwned || !s.r.bears(b))
+	cold := b.cold(s.r.now) && (s.scope == scopeOwned || !s.r.coldTokenAvailable(b))
 	if cold {
 		g.Cold++
 	}
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -261,12 +261,12 @@
 // each where nothing answers, before it was refused.
 func TestDeadEnginesAreNotTriedWhileOthersAreFull(t *testing.T) {
 	b := newBench(t, 2)
-	b.r.backends["e0"].refused(b.now)
+	b.r.backends["e0"].connectFailed(b.now)
 	for i := 0; i < 20; i++ {
 		engine, _ := b.submit(urgent, 0, 10)
 		require.NotEqual(t, "e0", engine)
 	}
-	b.r.backends["e1"].refused(b.now)
+	b.r.backends["e1"].connectFailed(b.now)
 	engine, _ := b.submit(hint, 2, 10)
 	require.NotEmpty(t, engine, "with all of them dead the fault may be this host's own")
 }
@@ -298,7 +298,7 @@
 	hear(1)
 	b.now += time.Second
 	b.post(Tick{})
-	e0.refused(b.now)
+	e0.connectFailed(b.now)
 	_, refused := b.submit(urgent, 0, 10)
 	require.NotNil(t, refused)
 	hear(2)
@@ -313,7 +313,7 @@
 func TestDrainingHostSendsCallersOnAtOnce(t *testing.T) {
 	b := newBench(t, 1)
 	b.post(Drain{Until: b.now + 8*time.Second, Grace: 8 * time.Second})
-	b.now += takeWhileDraining
+	b.now += drainAcceptDuration
 	_, refused := b.submit(hint, 2, 10)
 	require.Equal(t, ShutDown, refused.Cause)
 	require.LessOrEqual(t, refused.RetryAfter, 10*time.Millisecond)
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -17,8 +17,8 @@
 // alike. It is asked for each request and decides for its zone. What the owners of the zones admit they hear of each other as
 // hosts do, in beats and sums, but there are only as many of them as zones. A host whose question is not answered decides alone.
 
-// charge is a question to a quota's owner.
-type charge struct {
+// quotaRequest is a question to a quota's owner.
+type quotaRequest struct {
 	ownerCall
 	workspace string
 	cost      float64
@@ -28,7 +28,7 @@
 type quotaState struct {
 	// owners are by workspace, as long as the hosts of the zone stay the same.
 	owners  map[string][]string
-	charges ownerCalls[*charge]
+	pending ownerCalls[*quotaRequest]
 }
 
 func newQuotaState() quotaState { return quotaState{owners: map[string][]string{}} }
@@ -45,31 +45,31 @@
 	}
 }
 
-// charge takes a request's cost from its workspace's quota, or asks its owner to, and sends the request on or refuses it.
-func (r *Router) charge(q *request) {
+// chargeQuota takes a request's cost from its workspace's quota, or asks its owner to, and sends the request on or refuses it.
+func (r *Router) chargeQuota(q *request) {
 	if q.Workspace == nil || r.quotas[q.Workspace.Name] == nil {
-		r.admitted(q)
+		r.dispatchAdmitted(q)
 		return
 	}
 	switch owner := r.quotaOwner(q.Workspace.Name); owner {
 	case "":
-		r.chargeHere(q, r.ownPart())
+		r.chargeLocally(q, r.hostPart())
 	case r.opt.Host:
-		r.chargeHere(q, r.zonePart())
+		r.chargeLocally(q, r.zonePart())
 	default:
-		r.askCharge(q, owner)
+		r.requestQuota(q, owner)
 	}
 }
 
-// ownPart is the part of a host that decides for itself only, zonePart that of one that decides for the hosts of its zone that it
+// hostPart is the part of a host that decides for itself only, zonePart that of one that decides for the hosts of its zone that it
 // hears.
-func (r *Router) ownPart() limit.Scope {
+func (r *Router) hostPart() limit.Scope {
 	known, heard := r.countHosts()
 	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(heard) / float64(known)}
 }
 
 func (r *Router) zonePart() limit.Scope {
-	p := r.ownPart()
+	p := r.hostPart()
 	_, p.Members = r.countDirectHosts()
 	return p
 }
@@ -78,14 +78,14 @@
 // live, stay and have run for long enough to know all others, and the one that is asked while it does not answer. Empty in a small
 // fleet, whose hosts decide alone, and where there is none.
 func (r *Router) quotaOwners(workspace string) []string {
-	if !r.sharing() {
+	if !r.usesOwners() {
 		return nil
 	}
-	r.ownShards() // forgets the owners of quotas where the hosts have changed
+	r.localShardOwners() // forgets the owners of quotas where the hosts have changed
 	owners, known := r.limits.owners[workspace]
 	if !known {
-		if r.owners.ofAge {
-			first, second := bestTwo(r.owners.hosts, xxhash.Sum64String("quota|"+workspace))
+		if r.owners.established {
+			first, second := rendezvousTopTwo(r.owners.candidates, xxhash.Sum64String("quota|"+workspace))
 			owners = slices.DeleteFunc([]string{first, second}, func(h string) bool { return h == "" })
 		}
 		r.limits.owners[workspace] = owners
@@ -103,8 +103,8 @@
 	return ""
 }
 
-// chargeHere decides by what this host believes of the quota.
-func (r *Router) chargeHere(q *request, part limit.Scope) {
+// chargeLocally decides by what this host believes of the quota.
+func (r *Router) chargeLocally(q *request, part limit.Scope) {
 	quota := r.quotas[q.Workspace.Name]
 	ok, back := r.admit(quota, q.Cost, part)
 	if !ok {
@@ -113,7 +113,7 @@
 		return
 	}
 	q.charged = true
-	r.admitted(q)
+	r.dispatchAdmitted(q)
 }
 
 func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Scope) (ok bool, back time.Duration) {
@@ -132,22 +132,22 @@
 	return g
 }
 
-func (r *Router) askCharge(q *request, owner string) {
-	c := &charge{ownerCall{number: r.limits.charges.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.Workspace.Name, q.Cost}
-	q.charging = c
-	r.limits.charges.add(c)
-	r.sendCharge(owner, &gossippb.Charge{Number: c.number, Workspace: c.workspace, Cost: c.cost})
+func (r *Router) requestQuota(q *request, owner string) {
+	c := &quotaRequest{ownerCall{number: r.limits.pending.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.Workspace.Name, q.Cost}
+	q.quotaCall = c
+	r.limits.pending.add(c)
+	r.sendQuotaRequest(owner, &gossippb.Charge{Number: c.number, Workspace: c.workspace, Cost: c.cost})
 }
 
-func (r *Router) sendCharge(owner string, c *gossippb.Charge) {
+func (r *Router) sendQuotaRequest(owner string, c *gossippb.Charge) {
 	r.emit(Send{To: []string{owner}, Packet: &gossippb.Packet{Charge: c}})
 }
 
-// chargeAsked decides over another host's request, or takes back what has not run. Two hosts that disagree who owns a quota would
+// handleQuotaRequest decides over another host's request, or takes back what has not run. Two hosts that disagree who owns a quota would
 // each give out their zone's part: only one that takes itself for an owner decides.
-func (r *Router) chargeAsked(from string, c *gossippb.Charge) {
+func (r *Router) handleQuotaRequest(from string, c *gossippb.Charge) {
 	quota, known := r.quotas[c.Workspace]
-	cost := costOf(c)
+	cost := clampCost(c)
 	if c.Back {
 		if known {
 			quota.Refund(cost)
@@ -163,41 +163,41 @@
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Charged: answer}})
 }
 
-// mostCost bounds what one question can take from a quota: no engine's memory holds more tokens.
-const mostCost = 1 << 24
+// maxCost bounds what one question can take from a quota: no engine's memory holds more tokens.
+const maxCost = 1 << 24
 
-func costOf(c *gossippb.Charge) float64 {
+func clampCost(c *gossippb.Charge) float64 {
 	if math.IsNaN(c.Cost) {
-		return mostCost
+		return maxCost
 	}
-	return min(max(0, c.Cost), mostCost)
+	return min(max(0, c.Cost), maxCost)
 }
 
-// chargeAnswered takes an owner's answer.
-func (r *Router) chargeAnswered(from string, a *gossippb.Charged) {
-	c, ok := r.limits.charges.take(from, a.Number)
+// handleQuotaReply takes an owner's answer.
+func (r *Router) handleQuotaReply(from string, a *gossippb.Charged) {
+	c, ok := r.limits.pending.take(from, a.Number)
 	if !ok {
 		return
 	}
 	r.replyReceived(from)
 	q, known := r.requests[c.requestID]
-	if !known || q.charging != c {
+	if !known || q.quotaCall != c {
 		if a.Admitted {
-			r.sendCharge(from, &gossippb.Charge{Workspace: c.workspace, Cost: c.cost, Back: true})
+			r.sendQuotaRequest(from, &gossippb.Charge{Workspace: c.workspace, Cost: c.cost, Back: true})
 		}
 		return
 	}
 	if a.Unknown {
-		r.chargeElsewhere(q)
+		r.chargeAtNextOwner(q)
 		return
 	}
-	q.charging = nil
+	q.quotaCall = nil
 	if quota := r.quotas[c.workspace]; quota != nil {
-		quota.NoteRemoteDecision(r.now, c.cost, r.ownPart())
+		quota.NoteRemoteDecision(r.now, c.cost, r.hostPart())
 	}
 	if a.Admitted {
 		q.charged, q.chargedBy = true, from
-		r.admitted(q)
+		r.dispatchAdmitted(q)
 		return
 	}
 	delete(r.requests, q.ID)
@@ -207,41 +207,41 @@
 	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Basis: g})
 }
 
-// chargeAlone decides for a request whose owner does not.
-func (r *Router) chargeAlone(q *request) {
+// chargeWithoutOwner decides for a request whose owner does not.
+func (r *Router) chargeWithoutOwner(q *request) {
 	if r.quotas[q.Workspace.Name] == nil {
-		r.admitted(q) // the quota was lifted meanwhile
+		r.dispatchAdmitted(q) // the quota was lifted meanwhile
 		return
 	}
-	r.chargeHere(q, r.ownPart())
+	r.chargeLocally(q, r.hostPart())
 }
 
-// expireCharges asks the other owner where a question was not answered in time, or decides alone.
-func (r *Router) expireCharges() {
-	for _, c := range r.limits.charges.overdue(r.now) {
+// expireQuotaRequests asks the other owner where a question was not answered in time, or decides alone.
+func (r *Router) expireQuotaRequests() {
+	for _, c := range r.limits.pending.overdue(r.now) {
 		r.replyMissed(c.owner)
-		if q, ok := r.requests[c.requestID]; ok && q.charging == c {
-			r.chargeElsewhere(q)
+		if q, ok := r.requests[c.requestID]; ok && q.quotaCall == c {
+			r.chargeAtNextOwner(q)
 		}
 	}
 }
 
-// chargeElsewhere asks the next owner where one does not decide, or decides alone.
-func (r *Router) chargeElsewhere(q *request) {
-	asked := q.charging
-	q.charging = nil
+// chargeAtNextOwner asks the next owner where one does not decide, or decides alone.
+func (r *Router) chargeAtNextOwner(q *request) {
+	asked := q.quotaCall
+	q.quotaCall = nil
 	switch next := r.nextQuotaOwner(asked); {
 	case next == r.opt.Host && r.quotas[asked.workspace] != nil:
-		r.chargeHere(q, r.zonePart())
+		r.chargeLocally(q, r.zonePart())
 	case next != "" && next != r.opt.Host:
-		r.askCharge(q, next)
+		r.requestQuota(q, next)
 	default:
-		r.chargeAlone(q)
+		r.chargeWithoutOwner(q)
 	}
 }
 
 // nextQuotaOwner is the owner after the one that was asked; empty where there is none that answers.
-func (r *Router) nextQuotaOwner(asked *charge) string {
+func (r *Router) nextQuotaOwner(asked *quotaRequest) string {
 	owners := r.quotaOwners(asked.workspace)
 	next := slices.Index(owners, asked.owner) + 1
 	if next == 0 || next >= len(owners) {
@@ -260,7 +260,7 @@
 	}
 	q.charged = false
 	if q.chargedBy != "" {
-		r.sendCharge(q.chargedBy, &gossippb.Charge{Workspace: q.Workspace.Name, Cost: q.Cost, Back: true})
+		r.sendQuotaRequest(q.chargedBy, &gossippb.Charge{Workspace: q.Workspace.Name, Cost: q.Cost, Back: true})
 		return
 	}
 	if quota, ok := r.quotas[q.Workspace.Name]; ok {
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -59,7 +59,7 @@
 // indexBackend finds a backend server by its name in beats from now on, and takes what others have told of it.
 func (r *Router) indexBackend(b *backend) {
 	r.byHash[b.hash] = b
-	b.othersLoad, b.saidDead, b.saidFailing = r.othersLoadAt(b.hash), r.unreachableReportsFor(b.hash), r.saidFailingAt(b.hash)
+	b.othersLoad, b.unreachableReports, b.failingReports = r.othersLoadAt(b.hash), r.unreachableReportsFor(b.hash), r.countFailingReports(b.hash)
 }
 
 // addUnknown takes a backend server that was not known.
@@ -102,7 +102,7 @@
 	r.updates.revision = routing.Latest(r.updates.revision, ch.Revision)
 	r.emit(Note{What: "backend server started again", Subject: b.ID, Detail: describe(ch.Backend)})
 	r.dropFingerprint(b)
-	r.backendEnded(b)
+	r.recordBackendEnd(b)
 	delete(r.byHash, b.hash)
 	delete(r.tombstones, b.ID)
 	delete(r.warming, b.ID)
@@ -181,7 +181,7 @@
 		b.usableUntil = r.now + lapsedGracePeriod
 	}
 	if !b.Draining && !b.leaving && !ch.Foreign && b.usableUntil == 0 {
-		r.backendEnded(b)
+		r.recordBackendEnd(b)
 	}
 	r.emit(Note{What: "backend server gone", Subject: b.ID, Detail: fmt.Sprintf("%s doubt=%t foreign=%t", b.Service, b.usableUntil > 0, ch.Foreign)})
 	r.emit(BackendGone{b.Backend})
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -46,7 +46,7 @@
 	first := b.next
 	old := b.r.backends["e0"]
 	b.learn("e0", 400*time.Millisecond)
-	old.refused(b.now)
+	old.connectFailed(b.now)
 	old.replaced = true
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: old.hash, InFlight: counts{3}.pack()}}}})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -134,15 +134,15 @@
 	case Submit:
 		r.submit(e)
 	case StreamStarted:
-		r.began(e)
+		r.handleBegan(e)
 	case StreamProgress:
-		r.paced(e)
+		r.handlePaced(e)
 	case Stalled:
-		r.stalled(e.ID)
+		r.handleStalled(e.ID)
 	case CallerLeft:
-		r.gone(e.ID)
+		r.callerGone(e.ID)
 	case DispatchEnded:
-		r.ended(e)
+		r.handleEnded(e)
 	case HeartbeatReceived:
 		r.handleHeartbeat(e.Heartbeat)
 	case SlotRequestReceived:
@@ -152,11 +152,11 @@
 	case ReportReceived:
 		r.handleReport(e.From, e.Report)
 	case OccupancyReceived:
-		r.takeOccupancy(e.From, e.Occupancy)
+		r.handleOccupancy(e.From, e.Occupancy)
 	case ChargeRequestReceived:
-		r.chargeAsked(e.From, e.Charge)
+		r.handleQuotaRequest(e.From, e.Charge)
 	case ChargeResponseReceived:
-		r.chargeAnswered(e.From, e.Charged)
+		r.handleQuotaReply(e.From, e.Charged)
 	case RelayReceived:
 		r.applyZoneSummaries(r.opt.Zone, e.Relay.Zones)
 	case Update:
@@ -166,7 +166,7 @@
 	case BackendAnnouncement:
 		r.handleAnnouncement(e)
 	case ProbeResult:
-		r.checked(e)
+		r.handleChecked(e)
 	case SettingsChanged:
 		r.applySettings(e)
 	case Drain:
@@ -208,7 +208,7 @@
 
 func (r *Router) tick() {
 	r.expireSlotRequests()
-	r.expireCharges()
+	r.expireQuotaRequests()
 	if r.now >= r.maintenanceAt {
 		r.runMaintenance()
 		if r.largeFleet() {
@@ -219,7 +219,7 @@
 		r.activateConfig()
 	}
 	r.relaySummaries()
-	r.tellOccupancy()
+	r.sendOccupancy()
 	r.sendZoneSummaries()
 	if r.now >= r.heartbeatAt || (r.now < r.quotaLowUntil && r.now >= r.quotaLowHeartbeatAt) {
 		r.sendHeartbeats()
@@ -232,8 +232,8 @@
 	r.expireZones()
 	r.expireBackends()
 	r.expireEvacuations()
-	r.expireCold()
-	r.expireOccupancy()
+	r.updateCold()
+	r.expireOwnerLoads()
 	r.expireSuspects()
 	r.updateReading()
 }
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -43,7 +43,7 @@
 }
 
 func (s *service) learnPrefill(read time.Duration) {
-	s.prefillPerToken = learned(s.prefillPerToken, read)
+	s.prefillPerToken = smoothPrefillTime(s.prefillPerToken, read)
 }
 
 // learnStreamLength learns the length of a stream; zero is no stream.
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	// readShrink and readGrow are the weights of an observation of an engine's reading speed. Others'
+	// prefillDecreaseWeight and readGrow are the weights of an observation of an engine's reading speed. Others'
 	// prompts make a stream begin later, never sooner: low values are near the truth.
-	readShrink = 0.5
-	readGrow   = 0.05
-	// leastPrompt is the shortest prompt, in tokens, whose first event tells the reading speed: below it
+	prefillDecreaseWeight = 0.5
+	prefillIncreaseWeight = 0.05
+	// minPromptTokens is the shortest prompt, in tokens, whose first event tells the reading speed: below it
 	// the rest of a step and the way there weigh more.
-	leastPrompt = 300
-	// mostRead bounds what another host's word of a reading speed can do; engines here read a token in
+	minPromptTokens = 300
+	// maxPrefillTime bounds what another host's word of a reading speed can do; engines here read a token in
 	// tens of microseconds.
-	mostRead = 10 * time.Millisecond
-	// speedNews is by how much a speed must change to be told again.
-	speedNews = 0.3
+	maxPrefillTime = 10 * time.Millisecond
+	// speedChangeThreshold is by how much a speed must change to be told again.
+	speedChangeThreshold = 0.3
 )
 
 // speed is what is observed of an engine.
-type speed struct{ interval, read time.Duration }
+type speed struct{ interval, prefillTime time.Duration }
 
 func (b *backend) speed() speed { return speed{b.interval, b.prefillPerToken} }
 
-// differs tells whether a speed is worth telling to those who know another.
-func (s speed) differs(told speed) bool {
+// differsFrom tells whether a speed is worth telling to those who know another.
+func (s speed) differsFrom(told speed) bool {
 	off := func(a, b time.Duration) bool {
 		d := float64(a - b)
-		return a > 0 && (d > speedNews*float64(b) || -d > speedNews*float64(b))
+		return a > 0 && (d > speedChangeThreshold*float64(b) || -d > speedChangeThreshold*float64(b))
 	}
-	return off(s.interval, told.interval) || off(s.read, told.read)
+	return off(s.interval, told.interval) || off(s.prefillTime, told.prefillTime)
 }
 
-// began takes the first event of a stream: its prompt is read.
-func (r *Router) began(e StreamStarted) {
+// handleBegan takes the first event of a stream: its prompt is read.
+func (r *Router) handleBegan(e StreamStarted) {
 	q, ok := r.requests[e.ID]
-	if !ok || q.backend == nil || q.unread == 0 {
+	if !ok || q.backend == nil || q.prefillTokens == 0 {
 		return
 	}
-	done := q.unread
-	q.promptDone()
+	done := q.prefillTokens
+	q.prefillDone()
 	r.markLoadChanged()
 	var read time.Duration
-	if q.PromptTok >= leastPrompt && !q.queued && e.First > 0 {
+	if q.PromptTok >= minPromptTokens && !q.queued && e.First > 0 {
 		read = e.First / time.Duration(q.PromptTok)
-		q.backend.learnRead(read)
+		q.backend.learnPrefillTime(read)
 		r.serviceState(q.service).learnPrefill(read)
 	}
 	if to := r.reportTarget(q); to != "" {
@@ -57,9 +57,9 @@
 	}
 }
 
-// paced takes the speed of a stream's first events, so that a slow engine is known before the first
+// handlePaced takes the speed of a stream's first events, so that a slow engine is known before the first
 // stream there has ended.
-func (r *Router) paced(e StreamProgress) {
+func (r *Router) handlePaced(e StreamProgress) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil {
 		return
@@ -70,24 +70,26 @@
 	q.backend.learnEventInterval(e.Interval)
 }
 
-func (b *backend) learnRead(read time.Duration) { b.prefillPerToken = learned(b.prefillPerToken, read) }
+func (b *backend) learnPrefillTime(read time.Duration) {
+	b.prefillPerToken = smoothPrefillTime(b.prefillPerToken, read)
+}
 
-func learned(known, seen time.Duration) time.Duration {
+func smoothPrefillTime(known, seen time.Duration) time.Duration {
 	switch {
 	case known == 0:
 		return seen
 	case seen < known:
-		return known - time.Duration(readShrink*float64(known-seen))
+		return known - time.Duration(prefillDecreaseWeight*float64(known-seen))
 	default:
-		return known + time.Duration(readGrow*float64(seen-known))
+		return known + time.Duration(prefillIncreaseWeight*float64(seen-known))
 	}
 }
 
-// newSpeeds are the speeds that others have not been told.
-func (r *Router) newSpeeds() []*gossippb.Speed {
+// changedSpeeds are the speeds that others have not been told.
+func (r *Router) changedSpeeds() []*gossippb.Speed {
 	var out []*gossippb.Speed
 	for _, b := range r.allBackends() {
-		if b.removed || b.samples == 0 || !b.speed().differs(b.reportedSpeed) {
+		if b.removed || b.samples == 0 || !b.speed().differsFrom(b.reportedSpeed) {
 			continue
 		}
 		b.reportedSpeed = b.speed()
@@ -100,18 +102,18 @@
 	return &gossippb.Speed{Backend: b.hash, IntervalUs: uint32(b.interval.Microseconds()), ReadNs: uint32(b.prefillPerToken.Nanoseconds())}
 }
 
-// takeSpeed takes the word of a backend server's owner, which hears of all requests there.
-func (b *backend) takeSpeed(s *gossippb.Speed) {
+// applyOwnerSpeed takes the word of a backend server's owner, which hears of all requests there.
+func (b *backend) applyOwnerSpeed(s *gossippb.Speed) {
 	if pace := time.Duration(s.IntervalUs) * time.Microsecond; pace > 0 && pace <= maxEventInterval {
 		b.interval = pace
 	}
-	if read := time.Duration(s.ReadNs); read > 0 && read <= mostRead {
+	if read := time.Duration(s.ReadNs); read > 0 && read <= maxPrefillTime {
 		b.prefillPerToken = read
 	}
 }
 
-// takeSpeeds takes others' word of engines that this host has not observed itself.
-func (r *Router) takeSpeeds(list []*gossippb.Speed) {
+// applySpeeds takes others' word of engines that this host has not observed itself.
+func (r *Router) applySpeeds(list []*gossippb.Speed) {
 	for _, s := range list {
 		b, ok := r.byHash[s.Backend]
 		if !ok {
@@ -120,15 +122,15 @@
 		if b.samples == 0 {
 			b.interval = time.Duration(s.IntervalUs) * time.Microsecond
 		}
-		if read := time.Duration(s.ReadNs); b.prefillPerToken == 0 && read <= mostRead {
+		if read := time.Duration(s.ReadNs); b.prefillPerToken == 0 && read <= maxPrefillTime {
 			b.prefillPerToken = read
 		}
 	}
 }
 
-// unread is how many prompt tokens an engine is believed to have still to read. What others told is
+// prefillBacklog is how many prompt tokens an engine is believed to have still to read. What others told is
 // worked off since.
-func (b *backend) unread(now time.Duration) int {
+func (b *backend) prefillBacklog(now time.Duration) int {
 	others, at := b.othersLoad.prefillBacklog, b.othersReportedAt
 	if b.useOwnerReport {
 		others, at = b.ownerLoad.prefillBacklog, b.ownerReportedAt
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -42,7 +42,7 @@
 	for id := uint64(1); id <= 4; id++ {
 		b.post(StreamStarted{ID: id, First: 60 * time.Millisecond})
 	}
-	require.Less(t, b.r.backends["e0"].unread(b.now), 7000, "what has begun is read")
+	require.Less(t, b.r.backends["e0"].prefillBacklog(b.now), 7000, "what has begun is read")
 }
 
 // All places of the fast engine are taken. The next stream goes to the slow one, if a place there comes
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -41,7 +41,7 @@
 	id := z.next
 	z.runs[id] = &zoneRun{host: h, came: z.now}
 	sub := Submit{ID: id, Route: fragile, PromptTok: 259, OutputTok: 100, Deadline: z.now - h.born + 10*time.Second}
-	if h.r.Suspects() {
+	if h.r.HasSuspects() {
 		sub.Digest = deadly
 	}
 	z.post(h, sub)
@@ -151,13 +151,13 @@
 	z := newZones(t, 3, 8, 8)
 	for i, engine := range []string{"e001", "e009", "e017"} {
 		h := z.hosts[8*i]
-		h.r.sawEnd(h.r.backends[engine], brokenRun{popular, "school", z.now - h.born})
+		h.r.recordEndWithRequest(h.r.backends[engine], brokenRequest{popular, "school", z.now - h.born})
 	}
 	z.run(knownWithin, 0)
 	h := z.hosts[4]
 	require.NotNil(t, h.r.suspects.ledger.Blamed(popular), "until a run ends well")
 	q := &request{Submit: Submit{Digest: popular}}
-	h.r.learnOfRequest(h.r.backends["e002"], q, DispatchEnded{Outcome: Answered, Success: true})
+	h.r.recordRequestOutcome(h.r.backends["e002"], q, DispatchEnded{Outcome: Answered, Success: true})
 	z.run(knownWithin, 0)
 	for _, h := range z.hosts {
 		require.Nil(t, h.r.suspects.ledger.Blamed(popular), h.ip)
@@ -227,7 +227,7 @@
 			r.Reduce(5*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, true},
 		"registration goes long after": {func(r *Router, id string) {
-			r.Reduce(2*time.Second+confirmFor+1, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
+			r.Reduce(2*time.Second+endConfirmWindow+1, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, false},
 		"starts again": {func(r *Router, id string) {
 			ch := changeOf(id, 60, false)
@@ -242,7 +242,7 @@
 			require.True(t, ok)
 			require.Equal(t, engine, check.Backend.ID)
 			c.then(r, engine)
-			require.Equal(t, c.want, r.Suspects())
+			require.Equal(t, c.want, r.HasSuspects())
 		})
 	}
 }
@@ -254,7 +254,7 @@
 	registers(r, 12*time.Second, changeOf("a", 60, true))
 	registers(r, 13*time.Second, changeOf("a", 61, false))
 	breaks(t, r, 1, 14*time.Second, fragile)
-	require.False(t, r.Suspects())
+	require.False(t, r.HasSuspects())
 }
 
 // An engine that leaves ends by itself, with streams in flight that took too long. They did no harm.
@@ -268,7 +268,7 @@
 	_, asked := has[Probe](out)
 	require.False(t, asked)
 	r.Reduce(4*time.Second, ProbeResult{ID: d.Backend.ID, Refused: true})
-	require.False(t, r.Suspects())
+	require.False(t, r.HasSuspects())
 }
 
 // A deadly request on a route whose streams may be resumed: the host itself repeats it where an engine ends. It must stop as
@@ -284,7 +284,7 @@
 		r.Reduce(at, ProbeResult{ID: d.Backend.ID, Refused: true})
 		d = dispatchOf(t, out)
 	}
-	r.sawEnd(r.backends[d.Backend.ID], brokenRun{deadly, "", at}) // a beside one, from another host
+	r.recordEndWithRequest(r.backends[d.Backend.ID], brokenRequest{deadly, "", at}) // a beside one, from another host
 	out := r.Reduce(at, DispatchEnded{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
 	give, ok := has[GiveUp](out)
 	require.True(t, ok)
@@ -303,7 +303,7 @@
 	z := newZones(t, 3, 3, 4)
 	for i, engine := range []string{"e001", "e005", "e009"} {
 		h := z.hosts[3*i]
-		h.r.sawEnd(h.r.backends[engine], brokenRun{deadly, "school", z.now})
+		h.r.recordEndWithRequest(h.r.backends[engine], brokenRequest{deadly, "school", z.now})
 	}
 	z.run(knownWithin, 0)
 	z.now += time.Minute
@@ -329,7 +329,7 @@
 	engine := z.runs[id].engine
 	z.post(tried[0], DispatchEnded{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
 	z.post(tried[0], ProbeResult{ID: engine, Refused: true})
-	z.run(knownWithin+trialFor, 0)
+	z.run(knownWithin+trialTimeout, 0)
 	for _, h := range z.hosts {
 		out := h.r.Reduce(z.now, Submit{ID: 1 << 40, Route: fragile, Digest: deadly, Deadline: z.now + time.Minute})
 		refuse, ok := has[Refuse](out)
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -76,7 +76,7 @@
 	switch {
 	case b.removed:
 		return "doubtful"
-	case b.dead(now):
+	case b.isUnreachable(now):
 		return "unreachable"
 	case b.cold(now):
 		return "cold"
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -284,7 +284,7 @@
 }
 
 // owners are the hosts that own engines, by the first host's word.
-func (z *zone) owners() []string { return z.hosts[0].r.ownShards() }
+func (z *zone) owners() []string { return z.hosts[0].r.localShardOwners() }
 
 // Fifty hosts of a zone choose among fifty engines while these are nearly full. Each told every change to all
 // others, a thousand datagrams a second, and still all chose the few engines that looked free: streams waited
@@ -314,7 +314,7 @@
 	for _, h := range z.hosts {
 		require.Len(t, h.r.zonePeers(), 19, "%s", h.ip)
 		require.Equal(t, 6*20, h.r.hostCount(), "%s", h.ip)
-		require.Equal(t, z.byIP[h.r.zonePeers()[0]].r.ownShards(), h.r.ownShards(), "%s", h.ip)
+		require.Equal(t, z.byIP[h.r.zonePeers()[0]].r.localShardOwners(), h.r.localShardOwners(), "%s", h.ip)
 	}
 }
 
@@ -380,7 +380,7 @@
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
 	for _, b := range asker.r.allBackends() {
-		asker.r.takeOwnersWord(b, load{counts: counts{b.Slots + headroom}})
+		asker.r.applyOwnerLoad(b, load{counts: counts{b.Slots + headroom}})
 	}
 	z.question(asker)
 }
@@ -393,7 +393,7 @@
 	h := z.byIP[owner]
 	h.r = New(Options{Host: h.ip, Zone: "z0", Incarnation: 99, Seed: 99, Seeds: []string{"10.0.0.1", "10.0.0.2"}})
 	started := z.now
-	for z.now-started < ownerAge-200*time.Millisecond {
+	for z.now-started < minOwnerAge-200*time.Millisecond {
 		now := z.now
 		z.run(100*time.Millisecond, 0)
 		// The reducers of this zone share one clock; the new one counts from its start.
@@ -402,7 +402,7 @@
 			if m := other.r.members.byHost[owner]; m != nil && m.incarnation == 99 && other != h {
 				m.startedAt = started
 				other.r.owners.valid = false
-				require.NotContains(t, other.r.ownShards(), owner, "%s after its start, by %s", now-started, other.ip)
+				require.NotContains(t, other.r.localShardOwners(), owner, "%s after its start, by %s", now-started, other.ip)
 			}
 		}
 	}
@@ -512,9 +512,9 @@
 	broken := owner.r.backends[first]
 	word := &gossippb.Report{Backend: broken.hash, Requests: -1, Unread: -100, Outcome: gossippb.Outcome_OUTCOME_UNREACHABLE}
 	owner.r.Reduce(z.now, ReportReceived{"10.0.0.3", word})
-	require.False(t, broken.dead(z.now))
+	require.False(t, broken.isUnreachable(z.now))
 	owner.r.Reduce(z.now, ReportReceived{"10.0.0.4", word})
-	require.True(t, broken.dead(z.now))
+	require.True(t, broken.isUnreachable(z.now))
 	for range 30 {
 		require.NotEqual(t, first, ask("10.0.0.5"))
 	}
@@ -588,7 +588,7 @@
 		if b.Start == 7 {
 			named++
 		}
-		owner := h.ownShards()[b.hash%uint32(len(h.ownShards()))]
+		owner := h.localShardOwners()[b.hash%uint32(len(h.localShardOwners()))]
 		require.Equal(t, owner == z.hosts[0].ip, h.owns(b), b.ID)
 	}
 	require.Equal(t, 60, named)
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -202,7 +202,7 @@
 func (r *Router) ownZoneSummary() *gossippb.ZoneSum {
 	known, heard := r.countDirectHosts()
 	s := &gossippb.ZoneSum{Zone: r.opt.Zone, Speaker: r.opt.Host, Incarnation: r.opt.Incarnation, Seq: r.seq + 1,
-		Hosts: uint32(heard), Known: uint32(known), AgeMs: r.uptimeMs(), Owners: r.ownersToSend(), Suspects: r.suspects.ledger.ForZones(r.now), Leaves: r.zoneLeaving(), Failing: r.zoneFailing()}
+		Hosts: uint32(heard), Known: uint32(known), AgeMs: r.uptimeMs(), Owners: r.ownersToSend(), Suspects: r.suspects.ledger.ForZones(r.now), Leaves: r.zoneLeaving(), Failing: r.zoneFailingBackends()}
 	s.WithoutLoads = r.now < r.zones.loadsAt
 	if !s.WithoutLoads {
 		r.zones.loadsAt = r.now + r.loadsInterval()
@@ -219,7 +219,7 @@
 		if b.removed {
 			continue
 		}
-		if all := b.carried(); all.total() > 0 {
+		if all := b.totalLoad(); all.total() > 0 {
 			out = append(out, all.toProto(b.hash))
 		}
 	}
@@ -240,7 +240,7 @@
 
 // ownersToSend are the owners of this zone's backend servers, where they have changed or have not been told for a while.
 func (r *Router) ownersToSend() []string {
-	owners := r.ownShards()
+	owners := r.localShardOwners()
 	r.zones.summariesSent++
 	if r.zones.summariesSent%ownersResendSummaries != 0 && slices.Equal(owners, r.zones.ownersSent) {
 		return nil
@@ -293,7 +293,7 @@
 			continue
 		}
 		r.recordZone(s.Speaker, s.Zone)
-		r.takeSuspects(s.Suspects)
+		r.applySuspects(s.Suspects)
 		r.applyLeaving(s.Speaker, s.Leaves)
 		r.applyZoneSummary(s, from == s.Zone)
 	}
@@ -327,7 +327,7 @@
 	if !s.WithoutLoads {
 		r.applyZoneLoads(s.Zone, loadsFromProto(s.Loads))
 	}
-	r.takeOwnersFailing(s.Failing)
+	r.applyOwnerFailing(s.Failing)
 	for _, sp := range s.Spent {
 		if q, ok := r.quotas[sp.Workspace]; ok {
 			q.ApplyPeerTotal(limit.PeerTotal{Peer: z.key(), Spent: float64(sp.Amount), Reconnected: returned, RecentlyStarted: time.Duration(s.AgeMs)*time.Millisecond <= newHostDuration})
@@ -343,7 +343,7 @@
 func (r *Router) applyZoneLoads(zone string, told loads) {
 	for _, b := range r.backendsIn(zone) {
 		if !b.removed {
-			r.takeOwnersWord(b, told[b.hash])
+			r.applyOwnerLoad(b, told[b.hash])
 		}
 	}
 }
@@ -375,8 +375,8 @@
 // be reached stay on probation: one request at a time until one is answered.
 func (r *Router) zoneRecovered(zone string) {
 	for _, b := range r.backendsIn(zone) {
-		if r.now < b.unreachable {
-			b.unreachable = 0
+		if r.now < b.unreachableUntil {
+			b.unreachableUntil = 0
 			b.avoidUntil = r.now
 		}
 	}
