--- a/internal/router/failing.go
+++ b/internal/router/failing.go
@@ -10,7 +10,7 @@
 	probationSuccesses = 3
 	// minAvoidDuration and avoidMost bound how long a suspect is left alone; the time doubles.
 	minAvoidDuration = 300 * time.Millisecond
-	maxAvoidDuration  = 3 * time.Second
+	maxAvoidDuration = 3 * time.Second
 	// unreachableDuration is how long a backend server is left alone to which no connection can be made: its
 	// registration outlives it by some heartbeats, and it looks idle meanwhile.
 	unreachableDuration = 2 * time.Second
@@ -23,17 +23,17 @@
 // failureState is what is known of a backend server's failures.
 type failureState struct {
 	// failures in a row, the time of the latest, and the trials that succeeded since.
-	failures int
-	failedAt time.Duration
-	successes   int
+	failures  int
+	failedAt  time.Duration
+	successes int
 	// avoidUntil is until when it is avoided because of them; not zero until it is trusted again.
 	avoidUntil time.Duration
 	avoidFor   time.Duration
 	// unreachableUntil is until when no connection could be made; saidDead are the hosts that say so.
-	unreachableUntil time.Duration
-	unreachableReports    int
+	unreachableUntil   time.Duration
+	unreachableReports int
 	// failingReports are the hosts whose requests it fails, ownersFailing when its owner last said that it fails requests.
-	failingReports   int
+	failingReports int
 	ownerFailingAt time.Duration
 }
 
