--- a/internal/router/ask.go
+++ b/internal/router/ask.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// ownerCallTimeout is how long a host waits for an owner before it decides alone, at the next tick. A datagram
-	// inside a zone takes a fraction of a millisecond and a busy small host a few to answer; callers want the
-	// first event within hundreds.
+	// ownerCallTimeout is how long a host waits for an owner's reply before it decides locally, at the next
+	// tick. A datagram within a zone takes a fraction of a millisecond and a busy small host a few
+	// milliseconds to reply. Callers expect the first event within hundreds of milliseconds.
 	ownerCallTimeout = 20 * time.Millisecond
-	// lateReplyTTL is how long an answer that comes too late still finds its question, so that the place is
-	// given back.
+	// lateReplyTTL is how long a timed-out call is remembered, so that a slot granted by a late reply can be
+	// returned.
 	lateReplyTTL = 2 * time.Second
-	// maxSlotRequests bounds the owners that are asked for one send.
+	// maxSlotRequests limits the owners asked before a request is sent.
 	maxSlotRequests = 3
-	// maxMissedReplies questions in a row without an answer, an owner is not asked for muteFor: it is frozen, cut
-	// off or dead, and a caller should not wait for it.
+	// After maxMissedReplies calls in a row without a reply, an owner is not called for ownerBackoff: it is
+	// frozen, disconnected or down, and no caller should wait for it.
 	maxMissedReplies = 2
 	ownerBackoff     = 500 * time.Millisecond
-	// fullTTL is how long an owner's word that there is no place holds for the next request: a shard of
-	// ten engines with four places frees one every few tens of milliseconds.
+	// fullTTL is how long an owner's reply that it has no free slot applies to further requests. A shard of
+	// ten engines with four slots each releases one every few tens of milliseconds.
 	fullTTL = 10 * time.Millisecond
 )
 
-// slotRequest is a question for a place.
+// slotRequest is a call to an owner for a slot at one of its backend servers.
 type slotRequest struct {
 	ownerCall
 	priority int
 	prompt   int
 }
 
-// schedule finds a place through the owners of this zone's backend servers. Beliefs, which are some hundred
-// milliseconds old, choose whom to ask; the owner chooses the backend server by exact counts. Where no owner
-// answers, this host decides alone.
+// schedule obtains a slot from the owner of a backend server. This host's load data, some hundred
+// milliseconds old, selects the owner to call, and the owner selects the backend server by exact counts.
+// If no owner replies, this host decides locally.
 func (r *Router) schedule(q *request) {
 	c := r.selectInScope(q, scopeZone)
 	if c.backend == nil || c.class != classHealthy || c.grounds.InFlight >= c.backend.Slots {
@@ -58,10 +58,11 @@
 	r.requestSlotOrSend(q, c)
 }
 
-// requestSlotOrSend asks the owner of the chosen backend server, or sends where there is nobody to ask.
+// requestSlotOrSend calls the owner of the selected backend server, or sends the request directly if there
+// is no owner to call.
 func (r *Router) requestSlotOrSend(q *request, c selection) {
 	owner := r.ownerOf(c.backend)
-	// Owners have no places at cold backend servers, to which few hosts send by themselves.
+	// Owners grant no slots at cold backend servers. Few hosts send to those, without asking.
 	if c.backend.cold(r.now) || q.decideLocally || len(q.fullOwners) >= maxSlotRequests || !r.canAsk(owner) {
 		c.grounds.ViewAge = r.oldestHeartbeatAge()
 		r.send(q, c.backend, c.grounds)
@@ -70,7 +71,7 @@
 	r.requestSlot(q, owner, c.class)
 }
 
-// canAsk tells whether it is worth asking a host.
+// canAsk reports whether an owner is another host that is expected to reply.
 func (r *Router) canAsk(owner string) bool {
 	if owner == "" || owner == r.opt.Host || r.now < r.statusOf(owner).backoffUntil {
 		return false
@@ -79,8 +80,8 @@
 	return !ok || !m.unreachable
 }
 
-// fallbackOwner is an owner that may have a place although what is believed here says that there is none.
-// Words of owners are a quarter of a second old; on heavy days each engine has ended several requests since.
+// fallbackOwner returns a random owner that may have a free slot although this host's load data shows none,
+// or "". Owners' load reports are 250 ms old, and on busy days each engine has finished several requests since.
 func (r *Router) fallbackOwner(q *request) string {
 	if q.decideLocally || len(q.fullOwners) >= maxSlotRequests {
 		return ""
@@ -101,7 +102,7 @@
 	return owners[r.rng.IntN(len(owners))]
 }
 
-// assignable tells whether an owner may offer a place at a backend server for a request.
+// assignable reports whether an owner may grant a slot at a backend server for a request.
 func (r *Router) assignable(q *request, b *backend) bool {
 	ok, _ := b.usable(r.now)
 	return ok && !b.cold(r.now) && r.mayServe(q.Route, q.Workspace, b.Zone)
@@ -120,7 +121,8 @@
 	}}})
 }
 
-// announceToOwner sends a beat to an owner of another zone, which knows this host only while it has requests there.
+// announceToOwner sends a heartbeat to an owner in another zone, which knows this host only while it has
+// requests there.
 func (r *Router) announceToOwner(owner string) {
 	if zone := r.members.zoneOf[owner]; zone == "" || r.exchangesHeartbeats(zone) || r.now < r.owners.announcedUntil[owner] {
 		return
@@ -128,8 +130,8 @@
 	r.sendCrossZoneHeartbeat([]string{owner})
 }
 
-// sendCrossZoneHeartbeat tells owners of other zones what this host carries. What it has spent of quotas they hear in
-// its zone's sums.
+// sendCrossZoneHeartbeat reports this host's load to owners in other zones. Its quota usage reaches them in
+// its zone's summaries.
 func (r *Router) sendCrossZoneHeartbeat(to []string) {
 	for _, owner := range to {
 		r.owners.announcedUntil[owner] = r.now + r.heartbeatInterval()
@@ -137,7 +139,7 @@
 	r.emitHeartbeat(to, func(*gossippb.Beat) {})
 }
 
-// remoteOwnersWithLoad are the owners of other zones at whose backend servers this host has requests.
+// remoteOwnersWithLoad returns the owners in other zones at whose backend servers this host has requests.
 func (r *Router) remoteOwnersWithLoad() []string {
 	var out []string
 	for _, b := range r.allBackends() {
@@ -151,7 +153,7 @@
 	return out
 }
 
-// excludedBackends are an owner's backend servers that this host cannot use, by its own experience.
+// excludedBackends returns the hashes of an owner's backend servers that this host itself found unusable.
 func (r *Router) excludedBackends(q *request, owner string) []uint32 {
 	var out []uint32
 	for _, b := range r.backendsIn(r.ownerZone(owner)) {
@@ -166,20 +168,20 @@
 	return out
 }
 
-// expireSlotRequests decides alone for requests whose question was not answered in time.
+// expireSlotRequests handles the slot requests whose owner did not reply in time.
 func (r *Router) expireSlotRequests() {
 	for _, a := range r.slotRequests.overdue(r.now) {
 		r.slotRequestTimedOut(a)
 	}
 }
 
-// replyReceived notes that an owner answers.
+// replyReceived resets an owner's missed replies and its backoff.
 func (r *Router) replyReceived(owner string) {
 	t := r.statusOf(owner)
 	t.missedReplies, t.backoffUntil = 0, 0
 }
 
-// replyMissed notes a question that an owner has not answered in time.
+// replyMissed counts a missed reply and starts the backoff after maxMissedReplies.
 func (r *Router) replyMissed(owner string) {
 	t := r.statusOf(owner)
 	t.missedReplies++
@@ -199,13 +201,13 @@
 	if r.isLocalOwner(a.owner) {
 		q.decideLocally = true
 	} else {
-		// The other zone may be cut off, and its backend servers with it.
+		// The other zone may be disconnected, and its backend servers with it.
 		q.fullOwners = append(q.fullOwners, a.owner)
 	}
 	r.schedule(q)
 }
 
-// ownerZone is the availability zone of a host that owns backend servers.
+// ownerZone returns the availability zone of an owner.
 func (r *Router) ownerZone(owner string) string {
 	if zone := r.members.zoneOf[owner]; zone != "" {
 		return zone
@@ -215,7 +217,7 @@
 
 func (r *Router) isLocalOwner(host string) bool { return slices.Contains(r.localShardOwners(), host) }
 
-// handleOffer takes an owner's answer.
+// handleOffer processes an owner's reply to a slot request.
 func (r *Router) handleOffer(from string, offer *gossippb.Offer) {
 	a, ok := r.slotRequests.take(from, offer.Number)
 	if !ok {
@@ -234,7 +236,7 @@
 	q.slotCall = nil
 	b := r.byHash[offer.GetPlace().GetBackend()]
 	if offer.Place == nil || b == nil || !r.usableFor(q, b) {
-		// There is no place, or it is at a backend server that drains or is gone, which the owner has not heard.
+		// No slot, or one at a backend server that is draining or gone, which the owner does not know yet.
 		r.returnSlot(a, offer)
 		q.fullOwners = append(q.fullOwners, from)
 		r.schedule(q)
@@ -253,7 +255,7 @@
 	return r.assignable(q, b) && b.Service == q.service && !slices.Contains(q.tried, b.ID)
 }
 
-// returnSlot returns a place that is not used.
+// returnSlot returns a granted slot that is not used.
 func (r *Router) returnSlot(a *slotRequest, o *gossippb.Offer) {
 	if o.Place == nil {
 		return
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -9,34 +9,35 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A backend server that has just started bears few requests a second and crashes at a rate well above that, and the operators
-// bound what all hosts together send it. A few hosts, which each host computes, send there at all, each a fixed part of
-// the rate: nothing is counted between hosts, so that a cut, a late word or a restart adds nothing.
+// A backend server that has just started handles only a few requests per second and crashes at a rate well above that, so
+// operators limit the rate of all hosts together. Only a few hosts, computed by every host alike, send to a cold backend server,
+// each with a fixed part of the rate. Hosts share no counters, so a network cut, a late message or a restart adds no requests.
 
 const (
-	// maxColdSenders bounds the hosts that send to a cold backend server.
+	// maxColdSenders limits the hosts that send to a cold backend server.
 	maxColdSenders = 4
-	// minColdSenderAge is how long a host must have run to be one of them: it has heard of its zone mates by then, and what an
-	// earlier process of it sent is more than a second old.
+	// minColdSenderAge is how long a host must have run to be one of them. By then it knows its zone peers, and
+	// anything sent by its previous process is more than a second old.
 	minColdSenderAge = 2 * time.Second
-	// coldBurstShare is the part of what operators allow beyond the rate that hosts may have saved up: some hosts compute others, or decided just before
-	// they heard that a backend server is cold.
+	// coldBurstShare is the share of the operators' allowance beyond the rate that hosts may use for saved tokens.
+	// The rest covers hosts that compute other senders or decided just before they learned that a server is cold.
 	coldBurstShare = 0.5
 )
 
-// coldState is what this host knows of a backend server that is cold.
+// coldState is the state of a cold backend server, with a token bucket for the requests of this host.
 type coldState struct {
 	until time.Duration
-	// rate is how many requests a second this host may send there, and tokens how many it has saved up, at most one.
+	// rate is the number of requests per second that this host may send, and tokens those it has saved up, at
+	// most one.
 	rate, tokens float64
 	refilledAt   time.Duration
 }
 
-// cold tells whether a backend server bears few requests only.
+// cold reports whether a backend server is limited to a few requests because it has just started.
 func (b *backend) cold(now time.Duration) bool { return now < b.warming.until }
 
-// coldRateLimit is how many requests a second a cold backend server bears; zero where there is no bound. It is not known before
-// the configuration is.
+// coldRateLimit returns the rate limit of a cold backend server in requests per second, zero if there is none.
+// It is unknown until the configuration is known.
 func (r *Router) coldRateLimit(b *backend) (rate float64, known bool) {
 	if r.table == nil {
 		return 0, false
@@ -47,14 +48,14 @@
 	return 0, true
 }
 
-// assumeCold takes a backend server for cold that may be, though nothing says so yet.
+// assumeCold treats a backend server as cold without a report of it.
 func (r *Router) assumeCold(b *backend) {
 	if s := r.serviceConfig(b); s != nil && b.warming.until < r.now+s.ColdFor {
 		r.setCold(b, s.ColdFor, "presumed")
 	}
 }
 
-// setCold takes that a backend server is cold for so long, or is warm.
+// setCold marks a backend server as cold for the given time, or as warm if that is not positive.
 func (r *Router) setCold(b *backend, left time.Duration, by string) {
 	was := b.cold(r.now)
 	if rate, known := r.coldRateLimit(b); left <= 0 || (known && rate <= 0) {
@@ -80,7 +81,7 @@
 	r.emit(Note{What: "backend server is warm", Subject: b.ID, Detail: by})
 }
 
-// updateCold notes which backend servers are warm by now, and computes this host's part for the others.
+// updateCold marks backend servers as warm when their time has passed and updates this host's rate for the others.
 func (r *Router) updateCold() {
 	for _, id := range slices.Sorted(maps.Keys(r.warming)) {
 		b := r.warming[id]
@@ -97,14 +98,14 @@
 	}
 }
 
-// hostColdRate is this host's part of the rate of a cold backend server; zero where others send there.
+// hostColdRate returns this host's part of the rate of a cold backend server, zero if it is not a sender.
 func (r *Router) hostColdRate(b *backend) float64 {
 	bound, _ := r.coldRateLimit(b)
 	if bound <= 0 || r.now < minColdSenderAge || !r.exchangesHeartbeats(b.Zone) || r.noPeersSeen() {
 		return 0
 	}
 	allowed := bound*max(1, r.opt.Bounds.ColdOver) + r.opt.Bounds.ColdSlack
-	// Each may have saved one up, beside what flows in during a second.
+	// Each sender may have saved one token, besides those that accrue during a second.
 	senders := min(maxColdSenders, max(1, int(coldBurstShare*(allowed-bound))))
 	before, hosts := 0, 1
 	mine := coldSenderRank(b.hash, r.opt.Host)
@@ -125,12 +126,14 @@
 	return max(0, min(bound, allowed-float64(senders))) / float64(senders)
 }
 
-// noPeersSeen tells that this host has heard no other since its start though there are some: it cannot know who sends what.
+// noPeersSeen reports whether this host has seen no other host since its start although it has seeds. It then
+// cannot know which hosts send.
 func (r *Router) noPeersSeen() bool {
 	return len(r.members.order) == 0 && slices.ContainsFunc(r.opt.Seeds, func(h string) bool { return h != r.opt.Host })
 }
 
-// coldSenderRank orders hosts for a backend server, those that are not heard too: who is only cut off still sends.
+// coldSenderRank orders hosts for a backend server. Unreachable hosts are included because they may only be
+// disconnected and still send.
 func coldSenderRank(backend uint32, host string) uint64 {
 	return xxhash.Sum64String(host + "|cold " + strconv.FormatUint(uint64(backend), 36))
 }
@@ -141,7 +144,7 @@
 	w.refilledAt = r.now
 }
 
-// coldTokenAvailable tells whether this host may send a backend server one more request now.
+// coldTokenAvailable reports whether this host may send one more request to a backend server now.
 func (r *Router) coldTokenAvailable(b *backend) bool {
 	if !b.cold(r.now) {
 		return true
@@ -150,11 +153,11 @@
 	return b.warming.rate > 0 && b.warming.tokens >= 1
 }
 
-// takeColdToken counts a request that is sent to a backend server while it is cold.
+// takeColdToken takes a token for a request to a cold backend server.
 func (r *Router) takeColdToken(b *backend) {
 	if !b.cold(r.now) {
 		return
 	}
-	r.invariants.Check(r.coldTokenAvailable(b), "cold backend server %s gets more than this host's part", b.ID)
+	r.invariants.Check(r.coldTokenAvailable(b), "cold backend server %s gets more than this host's part of its rate", b.ID)
 	b.warming.tokens--
 }
--- a/internal/router/failing.go
+++ b/internal/router/failing.go
@@ -3,60 +3,65 @@
 import "time"
 
 const (
-	// suspectAfterFailures in a row make a backend server suspect; a single failure is everyday.
+	// suspectAfterFailures is the number of failures in a row that make a backend server suspect. Single failures
+	// are common.
 	suspectAfterFailures = 2
-	// probationSuccesses are the requests that a suspect has to serve, one at a time at first, to be trusted again: one that fails
-	// every other request serves the first of them as often as not.
+	// probationSuccesses is the number of requests that a backend server on probation must serve, at first one at a
+	// time, to be trusted again. One that fails every other request has an even chance to serve the first.
 	probationSuccesses = 3
-	// minAvoidDuration and avoidMost bound how long a suspect is left alone; the time doubles.
+	// minAvoidDuration and maxAvoidDuration limit how long a suspect backend server is avoided. The time doubles
+	// with each failure.
 	minAvoidDuration = 300 * time.Millisecond
 	maxAvoidDuration = 3 * time.Second
-	// unreachableDuration is how long a backend server is left alone to which no connection can be made: its
-	// registration outlives it by some heartbeats, and it looks idle meanwhile.
+	// unreachableDuration is how long a backend server is avoided after a failed connection. Its registration
+	// outlives it by some heartbeats, and it looks idle meanwhile.
 	unreachableDuration = 2 * time.Second
-	// reportQuorum is how many other hosts must say that a backend server is dead, or fails, for this one to believe it.
+	// reportQuorum is the number of other hosts that must report a backend server as unreachable or failing for
+	// this host to accept it.
 	reportQuorum = 2
-	// ownerFailingTTL is how long an owner's word that a backend server fails holds.
+	// ownerFailingTTL is how long an owner's report that a backend server fails is valid.
 	ownerFailingTTL = time.Second
 )
 
-// failureState is what is known of a backend server's failures.
+// failureState holds the failures of a backend server.
 type failureState struct {
-	// failures in a row, the time of the latest, and the trials that succeeded since.
+	// failures counts failures in a row, failedAt is the time of the latest, and successes counts the requests
+	// served since.
 	failures  int
 	failedAt  time.Duration
 	successes int
-	// avoidUntil is until when it is avoided because of them; not zero until it is trusted again.
+	// avoidUntil is when the backend server may be tried again. It stays set until the server is trusted again.
 	avoidUntil time.Duration
 	avoidFor   time.Duration
-	// unreachableUntil is until when no connection could be made; saidDead are the hosts that say so.
+	// unreachableUntil is set after a failed connection, and unreachableReports counts the hosts that report one.
 	unreachableUntil   time.Duration
 	unreachableReports int
-	// failingReports are the hosts whose requests it fails, ownersFailing when its owner last said that it fails requests.
+	// failingReports counts the hosts whose requests the backend server fails, and ownerFailingAt is the time of its
+	// owner's latest report that it fails.
 	failingReports int
 	ownerFailingAt time.Duration
 }
 
-// suspect tells that a backend server should be left alone.
+// suspect reports whether the backend server should be avoided.
 func (f *failureState) suspect(now time.Duration) bool {
 	return now < f.avoidUntil || f.isUnreachable(now) || f.failingReports >= reportQuorum || f.failingAtOwner(now)
 }
 
-// failingAtOwner tells that its owner has lately said that it fails requests.
+// failingAtOwner reports whether the owner has recently reported that the backend server fails.
 func (f *failureState) failingAtOwner(now time.Duration) bool {
 	return f.ownerFailingAt > 0 && now-f.ownerFailingAt < ownerFailingTTL
 }
 
-// onProbation tells that the backend server failed lately and has not served enough since.
+// onProbation reports whether the backend server failed and has not served enough requests since.
 func (f *failureState) onProbation() bool { return f.avoidUntil > 0 }
 
-// isUnreachable tells that no connection can be made there, by this host's own try or by several others' word.
+// isUnreachable reports whether connections are expected to fail, by this host's own attempt or reports of others.
 func (f *failureState) isUnreachable(now time.Duration) bool {
 	return now < f.unreachableUntil || f.unreachableReports >= reportQuorum
 }
 
-// succeeded takes that a request which began at a moment was served. One that began before the latest failure says nothing:
-// long streams go on at a backend server that breaks all new ones.
+// succeeded records that a request sent at the given time was served. A request sent before the latest failure
+// is ignored: long streams continue at a backend server that breaks all new ones.
 func (f *failureState) succeeded(began time.Duration) {
 	if f.failures > 0 && began < f.failedAt {
 		return
@@ -68,7 +73,7 @@
 	*f = failureState{unreachableReports: f.unreachableReports, failingReports: f.failingReports, ownerFailingAt: f.ownerFailingAt}
 }
 
-// connectFailed notes that no connection could be made.
+// connectFailed records a failed connection.
 func (f *failureState) connectFailed(now time.Duration) {
 	f.failures++
 	f.failedAt, f.successes = now, 0
@@ -77,7 +82,7 @@
 	f.unreachableUntil = now + unreachableDuration
 }
 
-// failed counts a fault in an answer.
+// failed records a fault in an answer.
 func (f *failureState) failed(now time.Duration) {
 	f.failures++
 	f.failedAt, f.successes = now, 0
@@ -88,10 +93,10 @@
 	f.avoidUntil = now + f.avoidFor
 }
 
-// isFailing tells that a backend server's failures are worth telling to other hosts.
+// isFailing reports whether the failures should be reported to other hosts.
 func (f *failureState) isFailing() bool { return f.onProbation() && f.failures >= suspectAfterFailures }
 
-// recordFailure counts a fault in an answer, and lets others hear soon of a backend server that becomes suspect by it.
+// recordFailure records a fault in an answer and reports a backend server that becomes suspect to other hosts early.
 func (r *Router) recordFailure(b *backend) {
 	was := b.isFailing()
 	b.failed(r.now)
@@ -103,19 +108,19 @@
 	r.emit(Note{What: "backend server fails", Subject: b.ID, Detail: b.Service})
 }
 
-// applyFailing takes which backend servers fail another host's requests.
+// applyFailing replaces the backend servers that another host reports as failing.
 func (r *Router) applyFailing(m *member, list []uint32) {
 	r.updateReportCounts(m.failingBackends, list, func(b *backend) *int { return &b.failingReports })
 	m.failingBackends = list
 }
 
-// countFailingReports counts the hosts whose requests a backend server fails.
+// countFailingReports counts the hosts that report a backend server as failing.
 func (r *Router) countFailingReports(hash uint32) int {
 	return r.countReporting(hash, func(m *member) []uint32 { return m.failingBackends })
 }
 
-// applyOwnerFailing takes an owner's word of which of its backend servers fail requests. Those that it no longer names are
-// trusted again after failingStale.
+// applyOwnerFailing applies an owner's report of which of its backend servers fail. Those that it no longer lists are
+// trusted again after ownerFailingTTL.
 func (r *Router) applyOwnerFailing(list []uint32) {
 	for _, hash := range list {
 		if b, ok := r.byHash[hash]; ok && !r.owns(b) {
@@ -124,7 +129,8 @@
 	}
 }
 
-// zoneFailingBackends are those of this zone, as their owners say or this host knows itself.
+// zoneFailingBackends returns the hashes of this zone's failing backend servers, by their owners' reports or by this
+// host's own data if it is the owner.
 func (r *Router) zoneFailingBackends() []uint32 {
 	return r.hashesOf(func(b *backend) bool {
 		return b.Zone == r.opt.Zone && (b.failingAtOwner(r.now) || (b.isFailing() && r.owns(b)))
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -9,13 +9,13 @@
 	"fireflyshift/internal/routing"
 )
 
-// handleSlotRequest answers a question for a place at one of this host's backend servers. The place counts as taken at
-// once, under the name of the asker, until the asker reports otherwise or its next beat, which tells all that
-// it carries, says so: a lost datagram is made up for within a beat.
+// handleSlotRequest replies to another host's request for a slot at one of this host's backend servers. A
+// granted slot counts at once as the other host's load, until that host reports otherwise or its next
+// heartbeat replaces its whole load. The effect of a lost datagram lasts one heartbeat at most.
 func (r *Router) handleSlotRequest(from string, a *gossippb.Ask) {
 	m, ok := r.members.byHost[from]
 	if !ok {
-		return // not heard yet; it decides alone
+		return // no heartbeat yet; it decides locally
 	}
 	q := r.requestFromAsk(a)
 	c := r.selectInScope(q, scopeOwned)
@@ -29,7 +29,7 @@
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: o}})
 }
 
-// requestFromAsk is the request that another host asks for, as far as a choice needs it.
+// requestFromAsk builds the parts of another host's request that a selector needs.
 func (r *Router) requestFromAsk(a *gossippb.Ask) *request {
 	kind := routing.Idempotent
 	if a.Streaming {
@@ -48,7 +48,7 @@
 	return q
 }
 
-// askRank is the rank that a question names; one that is no number counts as the least urgent.
+// askRank returns the rank in a slot request, clamped to the valid range. NaN counts as the least urgent.
 func askRank(a *gossippb.Ask) float64 {
 	rank := float64(a.Rank)
 	if math.IsNaN(rank) {
@@ -67,7 +67,7 @@
 	return out
 }
 
-// adjustLoad changes what another host is believed to adjustLoad at a backend server.
+// adjustLoad changes the load of another host at a backend server.
 func (r *Router) adjustLoad(m *member, hash uint32, priority, requests, unread int) {
 	if m.loads == nil {
 		m.loads = loads{}
@@ -90,8 +90,8 @@
 	b.othersReportedAt = r.now
 }
 
-// handleReport takes another host's word of one request at a backend server of this host's. An owner hears of
-// all requests there and knows its speed and faults first.
+// handleReport applies another host's report on one request at a backend server. Owners get the reports of
+// all hosts and so know a backend server's speed and failures first.
 func (r *Router) handleReport(from string, rep *gossippb.Report) {
 	m, known := r.members.byHost[from]
 	if known && (rep.Requests != 0 || rep.Unread != 0) {
@@ -132,12 +132,12 @@
 }
 
 const (
-	// maxEventInterval and mostEvents bound what one word of another host can teach.
+	// maxEventInterval and maxEvents limit the values accepted from one report.
 	maxEventInterval = 10 * time.Second
 	maxEvents        = 1 << 16
 )
 
-// reportTarget is the host that counts this host's requests at a backend server; empty where none does.
+// reportTarget returns the host that counts this host's requests at a backend server, or "".
 func (r *Router) reportTarget(q *request) string {
 	to := q.owner
 	if to == "" {
@@ -149,20 +149,20 @@
 	return to
 }
 
-// newReport is a report of a request by its backend server: requests and prompt tokens that came there, or
-// with a minus ended.
+// newReport returns a report of requests and prompt tokens added to the request's backend server, or
+// removed if negative.
 func (q *request) newReport(requests, unread int) *gossippb.Report {
 	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.priority()), Requests: int32(requests), Unread: int32(unread)}
 }
 
-// reportAssigned tells the owner of a request that was placed without asking it.
+// reportAssigned reports a request to the owner that did not grant its slot.
 func (r *Router) reportAssigned(q *request) {
 	if to := r.reportTarget(q); to != "" && q.owner == "" {
 		r.sendReport(to, q.newReport(1, q.prefillTokens))
 	}
 }
 
-// reportEnded tells the owner that a request ended, and what it showed of the backend server.
+// reportEnded reports to the owner that a request ended, with the outcome and speed observed.
 func (r *Router) reportEnded(q *request, e DispatchEnded) {
 	to := r.reportTarget(q)
 	if to == "" {
@@ -176,7 +176,7 @@
 	r.sendReport(to, rep)
 }
 
-// reportOutcome is what the end of a dispatch says of its backend server.
+// reportOutcome maps the end of a dispatch to what it shows of the backend server.
 func reportOutcome(e DispatchEnded) gossippb.Outcome {
 	switch {
 	case e.Outcome == Answered:
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -13,37 +13,39 @@
 )
 
 const (
-	// shardSize is about how many backend servers of a zone have one owner. Ten are enough for a choice
-	// among unlike engines, and with twice as many a small host would answer for a fifth of its zone's
-	// requests.
+	// shardSize is the approximate number of backend servers in a zone that share an owner. Ten are enough for
+	// a choice among unlike engines. With twice as many, a small host would handle the slot requests for a fifth
+	// of its zone's requests.
 	shardSize = 10
-	// minOwnerAge is how long a host must have run to own backend servers: one that has just started has not
-	// heard from its zone mates what they carry, and takes every engine for idle.
+	// minOwnerAge is how long a host must have run to own backend servers. A host that has just started has not
+	// received its zone peers' loads and takes every engine for idle.
 	minOwnerAge = 1500 * time.Millisecond
-	// minOwnerAgeAtStart is enough where no host of the zone is older: all have started together, and whoever
-	// owns an engine hears of each request there from the first one on.
+	// minOwnerAgeAtStart applies if no host of the zone is older. All have started together then, and an owner
+	// gets a report of each request from the first one on.
 	minOwnerAgeAtStart = 300 * time.Millisecond
-	// minOccupancyInterval is the period at which owners tell their zone what their backend servers carry. It only
-	// decides which owner is asked first: the owner itself knows. occupancyPerHost stretches it with the zone's hosts,
-	// so that a host hears the same number of words a second, however many owners there are.
+	// minOccupancyInterval is the interval at which owners send their backend servers' loads to the zone. The
+	// loads only decide which owner is called first, as the owner itself has exact counts. It is stretched by
+	// occupancyIntervalPerHost for each host of the zone, so that the messages a host receives per second do not
+	// depend on the number of owners.
 	minOccupancyInterval     = 250 * time.Millisecond
 	occupancyIntervalPerHost = 5 * time.Millisecond
-	// occupancyStaleIntervals is after how many periods an owner's word no longer counts.
+	// occupancyStaleIntervals is the number of intervals after which an owner's report expires.
 	occupancyStaleIntervals = 4
-	// messagesPerFullSpeeds is how many of an owner's words pass between two that tell all speeds; the others tell those that have changed.
+	// messagesPerFullSpeeds is the number of occupancy messages per one that holds all speeds. The others hold
+	// only the speeds that have changed.
 	messagesPerFullSpeeds = 16
 )
 
-// ownerStatus is how an owner has answered this host.
+// ownerStatus records how an owner has replied to this host.
 type ownerStatus struct {
-	// missedReplies are questions in a row without an answer; until muteUntil it is not asked because of them.
+	// missedReplies counts the calls in a row without a reply. The owner is not called before backoffUntil.
 	missedReplies int
 	backoffUntil  time.Duration
-	// fullAt is when it last had no place, by priority.
+	// fullAt is when the owner last had no free slot, by priority.
 	fullAt [priorities]time.Duration
 }
 
-// statusOf is how an owner has answered so far.
+// statusOf returns the status of an owner and creates it if necessary.
 func (r *Router) statusOf(owner string) *ownerStatus {
 	t, ok := r.owners.status[owner]
 	if !ok {
@@ -56,29 +58,30 @@
 	return t
 }
 
-// ownerState is who owns the backend servers of this zone. Ownership is computed by each host from those
-// that it hears. It grants nothing: where two hosts disagree for a moment, some requests are placed by an
-// older belief, as if the host had decided alone.
+// ownerState holds the owners of this zone's backend servers. Each host computes them from the hosts whose
+// heartbeats it receives. Ownership grants no exclusive right: while two hosts disagree, some requests are
+// assigned by older load data, as if the sending host had decided locally.
 type ownerState struct {
 	valid bool
-	// recomputeAt is when a host comes of age that may own some, so that owners must be computed anew.
+	// recomputeAt is when the next host reaches the minimum age, so that owners must be computed again.
 	recomputeAt time.Duration
-	// candidates are those that may own, and ofAge tells that they have run for ownerAge.
+	// candidates are the hosts that may own. established is set if they have run for minOwnerAge.
 	candidates  []string
 	established bool
-	// byShard are the owners' IP numbers; empty where no host has run for long enough. shards are the backend servers.
+	// byShard holds the owners' IP addresses, empty if no host has run for long enough. shards holds the
+	// backend servers of each shard.
 	byShard []string
 	shards  [][]*backend
-	// ownedShards is how many shards this host owns, and mine their backend servers.
+	// ownedShards is the number of shards that this host owns and ownedBackends are their backend servers.
 	ownedShards   int
 	ownedBackends []*backend
-	// nextOccupancyAt is when this host next tells what its backend servers carry, and told counts its words.
+	// nextOccupancyAt is when this host next sends its occupancy message, and occupancySent counts them.
 	nextOccupancyAt time.Duration
 	occupancySent   int
-	// expireAt is when words of owners that have fallen silent are next looked for.
+	// expireAt is when expired owners' reports are next removed.
 	expireAt time.Duration
 	status   map[string]*ownerStatus
-	// announcedUntil is until when owners of other zones know this host by its last beat.
+	// announcedUntil is how long an owner in another zone knows this host from its last heartbeat.
 	announcedUntil map[string]time.Duration
 }
 
@@ -86,12 +89,12 @@
 	return ownerState{status: map[string]*ownerStatus{}, announcedUntil: map[string]time.Duration{}}
 }
 
-// usesOwners tells whether backend servers have owners that are asked for places. In a small fleet every host
-// tells each change to all others instead, which grows with the square of the hosts.
+// usesOwners reports whether backend servers have owners that grant slots. In a small fleet each host sends
+// every change to all others instead, at a cost that grows with the square of the number of hosts.
 func (r *Router) usesOwners() bool { return r.largeFleet() }
 
-// ownerOf is the host that owns a backend server; empty where none is known. Other zones name theirs in their
-// sums.
+// ownerOf returns the host that owns a backend server, or "" if unknown. Other zones list their owners in
+// zone summaries.
 func (r *Router) ownerOf(b *backend) string {
 	if !r.usesOwners() {
 		return ""
@@ -106,7 +109,7 @@
 	return r.localShardOwners()[b.hash%uint32(len(r.owners.byShard))]
 }
 
-// localShardOwners are the owners of this zone's backend servers.
+// localShardOwners returns the owners of this zone's backend servers by shard.
 func (r *Router) localShardOwners() []string {
 	if !r.owners.valid || r.now >= r.owners.recomputeAt {
 		r.computeOwners()
@@ -114,7 +117,8 @@
 	return r.owners.byShard
 }
 
-// remoteOwnerUnresponsive tells that another zone's owner does not answer: its zone is most likely cut off.
+// remoteOwnerUnresponsive reports whether a backend server's owner is in another zone and does not reply.
+// That zone is most likely disconnected.
 func (r *Router) remoteOwnerUnresponsive(b *backend) bool {
 	if b.Zone == r.opt.Zone {
 		return false
@@ -131,8 +135,8 @@
 	return b.owned
 }
 
-// computeOwners divides the zone's backend servers into a power of two of shards, so that the number seldom
-// changes, and finds each shard's owner by rendezvous hashing over the hosts that live and stay.
+// computeOwners divides the zone's backend servers into a power of two of shards, so that the number rarely
+// changes, and assigns each shard an owner by rendezvous hashing over the hosts that are up and not leaving.
 func (r *Router) computeOwners() {
 	zone := r.backendsIn(r.opt.Zone)
 	n := 0
@@ -174,11 +178,11 @@
 	}
 }
 
-// never is a moment that does not come.
+// never is a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
-// eligibleOwners are the hosts of this zone that may own backend servers: those that have run for ownerAge, or where there is
-// none, for ownerAgeLeast. It notes when the next one comes of age.
+// eligibleOwners returns the hosts of this zone that may own backend servers: those that have run for
+// minOwnerAge, or if there are none, for minOwnerAgeAtStart. It sets recomputeAt.
 func (r *Router) eligibleOwners() []string {
 	var old, young []string
 	r.owners.recomputeAt = never
@@ -209,7 +213,7 @@
 	return young
 }
 
-// rendezvousTopTwo are a shard's owner among some hosts, and the next; empty where there are not so many.
+// rendezvousTopTwo returns the two hosts with the highest hash for a shard, or "" if there are too few.
 func rendezvousTopTwo(hosts []string, shard uint64) (first, second string) {
 	var best, next uint64
 	for _, host := range hosts {
@@ -223,7 +227,7 @@
 	return first, second
 }
 
-// rendezvousHash mixes a host with a shard, so that each shard orders the hosts in its own way.
+// rendezvousHash hashes a host together with a shard, so that each shard orders the hosts differently.
 func rendezvousHash(host string, shard uint64) uint64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:8], xxhash.Sum64String(host))
@@ -231,7 +235,7 @@
 	return xxhash.Sum64(key[:])
 }
 
-// sendOccupancy tells the zone what this host's backend servers carry.
+// sendOccupancy sends the loads and speeds of this host's backend servers to the zone.
 func (r *Router) sendOccupancy() {
 	if !r.usesOwners() || r.now < r.owners.nextOccupancyAt {
 		return
@@ -264,14 +268,14 @@
 	r.emit(Send{To: r.zonePeers(), Packet: &gossippb.Packet{Occupancy: o}})
 }
 
-// totalLoad is what a backend server is believed to carry, requests of all hosts together.
+// totalLoad returns the known load of a backend server from all hosts.
 func (b *backend) totalLoad() load {
 	all := b.loadOfOthers()
 	all.add(b.ownLoad)
 	return all
 }
 
-// handleOccupancy takes an owner's word of what its backend servers carry.
+// handleOccupancy applies an owner's report on its backend servers.
 func (r *Router) handleOccupancy(from string, o *gossippb.Occupancy) {
 	if o.All {
 		r.applyFullOccupancy(from, loadsFromProto(o.Loads))
@@ -286,7 +290,7 @@
 	}
 }
 
-// applyFullOccupancy takes an owner's word of all its backend servers; those that it does not name carry nothing.
+// applyFullOccupancy applies an owner's report on all its backend servers. Those it does not list are idle.
 func (r *Router) applyFullOccupancy(owner string, told loads) {
 	for shard, o := range r.localShardOwners() {
 		if o != owner {
@@ -298,7 +302,7 @@
 	}
 }
 
-// applyOwnerLoads takes what an owner says of several backend servers.
+// applyOwnerLoads applies an owner's report on some of its backend servers.
 func (r *Router) applyOwnerLoads(list []*gossippb.Load) {
 	for _, l := range list {
 		if b, ok := r.byHash[l.Backend]; ok {
@@ -307,8 +311,8 @@
 	}
 }
 
-// applyOwnerLoad replaces what is believed of others' requests at a backend server. This host's own ones
-// are in the owner's word too.
+// applyOwnerLoad replaces the known load of other hosts at a backend server by its owner's report, less this
+// host's own requests, which the report includes.
 func (r *Router) applyOwnerLoad(b *backend, all load) {
 	if r.owns(b) {
 		return
@@ -320,12 +324,12 @@
 	b.useOwnerReport, b.ownerLoad, b.ownerReportedAt = true, all, r.now
 }
 
-// occupancyInterval is the time between two words of an owner that nothing brings forward.
+// occupancyInterval returns the time between two occupancy messages unless one is sent early.
 func (r *Router) occupancyInterval() time.Duration {
 	return max(minOccupancyInterval, occupancyIntervalPerHost*time.Duration(len(r.zonePeers())))
 }
 
-// expireOwnerLoads goes back to what the other hosts' beats say where an owner has fallen silent.
+// expireOwnerLoads returns to the loads from the other hosts' heartbeats if an owner no longer reports.
 func (r *Router) expireOwnerLoads() {
 	if r.now < r.owners.expireAt {
 		return
@@ -333,7 +337,7 @@
 	r.owners.expireAt = r.now + minOccupancyInterval
 	stale := occupancyStaleIntervals * r.occupancyInterval()
 	for _, b := range r.allBackends() {
-		told := b.Zone != r.opt.Zone && !r.zoneUnreachable(b.Zone) // in its zone's sums, not in each
+		told := b.Zone != r.opt.Zone && !r.zoneUnreachable(b.Zone) // reported in its zone's summaries, though not in each
 		if b.useOwnerReport && !told && r.now-b.ownerReportedAt > stale {
 			b.useOwnerReport = false
 		}
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -8,40 +8,42 @@
 )
 
 const (
-	// headroom is how many requests above its slots an engine gets for the most urgent priority, and
-	// perRank how many fewer for each rank below: engines admit in order of arrival and know no
-	// priorities, so what may queue there is what ranks. Measured against limits without ranks,
-	// this serves a tenth more of the worth on the heaviest days.
+	// headroom is the number of requests beyond its slots that an engine may hold for the most urgent
+	// priority, reduced by headroomPerRank for each rank below. Engines admit in order of arrival and know
+	// no priorities, so the depth of the queue in front of them enforces the ranks. Compared with limits
+	// that ignore ranks, this completes 10% more weighted requests on the most heavily loaded days.
 	headroom        = 4
 	headroomPerRank = 2
-	// maxWaitShare of its objective is how long a stream may wait for a place at an engine where all are
-	// taken: an engine of one slot frees one a second, one of eleven ten, and places to wait that are too
-	// many make late what other engines would serve.
+	// maxWaitShare is the share of its target latency that a stream may spend waiting for a slot at a full
+	// engine. An engine with one slot releases one a second, an engine with eleven releases ten. A longer
+	// queue would delay requests that other engines could still serve in time.
 	maxWaitShare = 0.5
-	// plainRequestsPerSlot is how many requests a slot a plain service's server may hold: answers there take
-	// a few tens of milliseconds against an objective several times that.
+	// plainRequestsPerSlot limits the requests that a backend server of a plain service may hold. Its
+	// answers take tens of milliseconds, with a target several times as long.
 	plainRequestsPerSlot = 2
-	// crossZonePenalty makes a backend server of another zone count as that much busier: at equal load
-	// the bytes stay in the zone.
+	// crossZonePenalty multiplies the score of a backend server in another zone, so that at equal load
+	// traffic stays in the zone.
 	crossZonePenalty = 1.08
-	// crossZonePenaltyLarge is the same in a large fleet, where other zones' counts are half a second old.
+	// crossZonePenaltyLarge replaces crossZonePenalty in a large fleet, where load counts of other zones
+	// are half a second old.
 	crossZonePenaltyLarge = 1.6
-	// crossZoneMinFree is how many places below its limit a backend server of another zone must be there.
+	// crossZoneMinFree is the number of requests below its limit that a backend server of another zone
+	// must be at in a large fleet.
 	crossZoneMinFree = 3
-	// outputLengthMargin makes up for estimates of a stream's length, which are right at the median only.
+	// outputLengthMargin allows for errors in output length estimates, which are correct only at the median.
 	outputLengthMargin = 1.5
-	// sampleSize is how many candidates a host of a large fleet draws at random to take the best of.
+	// sampleSize is the number of candidates that a host of a large fleet samples at random.
 	sampleSize = 6
 )
 
-// candidate is a backend server that passed the filter, with its score: lower is better.
+// candidate is a usable backend server with its score. Lower is better.
 type candidate struct {
 	backend *backend
 	score   float64
 }
 
-// chooseService draws one of the route's services by weight, among those with a usable backend
-// server.
+// chooseService picks one of the route's services at random by weight, among those with a usable
+// backend server.
 func (r *Router) chooseService(route *routing.Route, w *routing.Workspace) string {
 	sum := 0.0
 	var eligible []routing.Share
@@ -75,7 +77,8 @@
 	return false
 }
 
-// requestLimit is how many requests a backend server may hold for one of this priority to join.
+// requestLimit returns the number of requests in flight at which a backend server accepts no further
+// request of this priority.
 func (s *selector) requestLimit(b *backend) int {
 	slots := max(1, b.Slots)
 	if s.q.Route.Kind != routing.Streaming {
@@ -88,8 +91,8 @@
 	return max(1, slots+extra)
 }
 
-// class is how far a backend server is trusted with a request. A class is used only where those before
-// it have no candidate.
+// class grades how likely a backend server is to serve a request. Candidates of a class are used only
+// if no better class has any.
 type class int
 
 const (
@@ -101,7 +104,7 @@
 	numClasses
 )
 
-// classOf tells how far a usable backend server is trusted with a request.
+// classOf returns the class of a usable backend server.
 func (s *selector) classOf(b *backend, doubtful bool) class {
 	now := s.r.now
 	switch {
@@ -118,8 +121,9 @@
 	}
 }
 
-// probationLimitReached tells whether a backend server on probation has as many requests as it may: one, and one more for each that it
-// has served. They count if they are this host's, or at its owner, which places everybody's, anybody's.
+// probationLimitReached reports whether a backend server on probation already has as many requests as
+// it may get: one, plus one for each request served since its last failure. The owner counts the
+// requests of all hosts, any other host only its own.
 func (s *selector) probationLimitReached(b *backend) bool {
 	if s.scope == scopeOwned {
 		return b.inFlight() > b.successes
@@ -127,17 +131,17 @@
 	return b.ownLoad.total() > b.successes
 }
 
-// selector is the choice of a backend server for one request.
+// selector chooses a backend server for one request.
 type selector struct {
 	r *Router
 	q *request
-	// svc is what is believed of the request's service, cfg its configuration; nil where there is none.
+	// svc is the learned state of the request's service and cfg its configuration, nil if there is none.
 	svc   *service
 	cfg   *routing.Service
 	scope scope
 }
 
-// scope is which backend servers a search looks at.
+// scope limits the backend servers that a selector considers.
 type scope int
 
 const (
@@ -146,7 +150,7 @@
 	scopeOwned       // those that this host owns
 )
 
-// selection is what a search found; b is nil where none has room.
+// selection is the result of a selector. backend is nil if none has room.
 type selection struct {
 	backend *backend
 	class   class
@@ -161,15 +165,15 @@
 	return s
 }
 
-// selectBackend chooses a backend server anywhere by what this host believes.
+// selectBackend chooses a backend server in any zone by the load known to this host.
 func (r *Router) selectBackend(q *request) (*backend, DecisionBasis) {
 	c := r.selectInScope(q, scopeAll)
 	c.grounds.ViewAge = r.oldestHeartbeatAge()
 	return c.backend, c.grounds
 }
 
-// selectInScope chooses a backend server: filter, score, reserve. Where none has room, the grounds are those of
-// the least loaded one. The age of beliefs is left to who acts on the choice.
+// selectInScope filters and scores the backend servers in scope and picks one. If none has room, the
+// grounds describe the least loaded one. The caller sets the age of the load data.
 func (r *Router) selectInScope(q *request, where scope) selection {
 	s := r.newSelector(q, where)
 	g := r.grounds()
@@ -181,8 +185,9 @@
 	for _, b := range s.backends() {
 		s.addCandidate(b, &g, byClass)
 	}
-	// Suspects and dead servers look idle. In an overload every request would try some of them before it is refused; they are
-	// tried only where no better one is left at all, full or not, as the fault may be this host's own.
+	// Suspect and unreachable servers look idle, so under overload every request would try some of them
+	// before being refused. They are used only if no better server is left, even a full one: then the fault
+	// may lie with this host.
 	if g.Full > g.suspects {
 		byClass[classSuspect] = byClass[classSuspect][:0]
 	}
@@ -207,8 +212,8 @@
 	return s.r.zoneBackendsOf(s.q.service)
 }
 
-// eligible tells whether a search looks at a backend server: one whose owner has just said that it has no
-// place for the request is left out.
+// eligible reports whether the selector considers a backend server. Servers of owners that have just
+// reported no free slot for this request are skipped.
 func (s *selector) eligible(b *backend) bool {
 	if s.scope == scopeOwned {
 		return s.r.owns(b)
@@ -216,7 +221,7 @@
 	return len(s.q.fullOwners) == 0 || !slices.Contains(s.q.fullOwners, s.r.ownerOf(b))
 }
 
-// addCandidate puts a backend server into the list of its class, if it may be used and has room.
+// addCandidate adds a backend server to the candidates of its class if it is usable and has room.
 func (s *selector) addCandidate(b *backend, g *DecisionBasis, byClass *[numClasses][]candidate) {
 	ok, doubt := b.usable(s.r.now)
 	if !ok || !s.r.mayServe(s.q.Route, s.q.Workspace, b.Zone) {
@@ -253,7 +258,7 @@
 	byClass[c] = append(byClass[c], candidate{b, s.score(b, held)})
 }
 
-// serviceConfig is the configuration of a backend server's service; nil where there is none.
+// serviceConfig returns the configuration of a backend server's service, or nil.
 func (r *Router) serviceConfig(b *backend) *routing.Service {
 	if r.table == nil {
 		return nil
@@ -261,14 +266,14 @@
 	return r.table.Service(b.Service)
 }
 
-// kindMatches tells whether a backend server is of its service's kind: a registration without models in a
-// service of model engines was not written by one of them.
+// kindMatches reports whether a backend server is of its service's kind. In a service of model engines,
+// a registration without models was not written by an engine.
 func kindMatches(b *backend, s *routing.Service) bool {
 	return s == nil || !s.Model || b.Model
 }
 
-// crossZoneMargin is how much of its limit a backend server of another zone must have free in a large fleet:
-// its counts are old, and all who overflow see the same free places.
+// crossZoneMargin returns the part of its limit that must be free at a backend server of another zone in
+// a large fleet. Its load counts are old, and all hosts with overflow see the same free slots.
 func (r *Router) crossZoneMargin(b *backend) int {
 	if b.Zone == r.opt.Zone || !r.largeFleet() {
 		return 0
@@ -276,9 +281,9 @@
 	return crossZoneMinFree
 }
 
-// tooSlow tells whether a stream would most likely not end in time at an engine. The longest outputs
-// are ten times the mean, and slow engines take four times as long for each event, so that these
-// would run for nothing until their deadline.
+// tooSlow reports whether a stream would probably miss its deadline at an engine. The longest outputs are
+// ten times the mean and slow engines need four times as long per event, so such streams would occupy
+// an engine until their deadline for nothing.
 func (s *selector) tooSlow(b *backend) bool {
 	if b.interval == 0 || s.q.OutputTok == 0 || s.cfg == nil || s.cfg.TokensPerEvent == 0 {
 		return false
@@ -287,8 +292,9 @@
 	return events*float64(b.interval)*outputLengthMargin > float64(s.q.Deadline-s.r.now)
 }
 
-// pickBest takes the best candidate, or in a large fleet the best of a few drawn at random: many hosts
-// that choose by the same counts, a beat old, would all send to the same one. An owner's counts are exact.
+// pickBest returns the best candidate, in a large fleet the best of a random sample: hosts that decide by
+// the same counts, one heartbeat old, would otherwise all choose the same one. The owner's counts are exact,
+// so it compares all.
 func (s *selector) pickBest(list []candidate) *backend {
 	r := s.r
 	var best candidate
@@ -314,7 +320,7 @@
 	return a
 }
 
-// oldestHeartbeatAge is the age of the oldest beat whose counts are in use.
+// oldestHeartbeatAge returns the age of the oldest heartbeat whose counts are in use.
 func (r *Router) oldestHeartbeatAge() time.Duration {
 	var age time.Duration
 	for _, h := range r.members.order {
--- a/internal/router/predict.go
+++ b/internal/router/predict.go
@@ -6,7 +6,7 @@
 	"fireflyshift/internal/routing"
 )
 
-// score orders backend servers for a request: the lower the better.
+// score returns the score of a backend server for a request. Lower is better.
 func (s *selector) score(b *backend, held int) float64 {
 	wait := float64(s.predictedWait(b, held))
 	switch {
@@ -19,13 +19,13 @@
 	}
 }
 
-// predictedWait predicts how long the request waits at a backend server that holds so many: a stream for its first
-// event, another for the server's work on what is there.
+// predictedWait estimates the delay of the request at a backend server with the given number of requests: for a
+// stream the time to its first event, for a plain call the time to process all requests there.
 //
-// A stream begins when the prompts before it and its own are read, and where all places are taken, when one
-// comes free. Engines of one service read at speeds that differ fivefold, prompts differ a hundredfold, and
-// a long prompt holds up every stream beside it. Measured against the least of (requests held + 1) x time
-// between events, this serves 0.02 to 0.05 more of the worth on days that are not overloaded throughout.
+// A stream begins once the prompts queued before it and its own are prefilled and, if all slots are taken, a slot
+// is released. Prefill speeds of one service's engines differ fivefold, prompt lengths a hundredfold, and a long
+// prompt delays every stream beside it. Compared with minimizing (requests held + 1) x event interval, this
+// completes 0.02 to 0.05 more of the weighted requests on days without continuous overload.
 func (s *selector) predictedWait(b *backend, held int) time.Duration {
 	pace := s.eventInterval(b)
 	if s.q.Route.Kind != routing.Streaming || s.q.PromptTok == 0 {
@@ -42,12 +42,12 @@
 	return wait
 }
 
-// slotReleaseInterval is how often a place comes free at an engine where all are taken: as streams of the usual length
-// end.
+// slotReleaseInterval returns the mean time between slot releases at a full engine, from the usual stream length.
 func (s *selector) slotReleaseInterval(b *backend) time.Duration {
 	return max(1, time.Duration(s.svc.expectedStreamLength()*float64(s.eventInterval(b))/float64(max(1, b.Slots))))
 }
 
+// eventInterval returns the learned event interval of a backend server, or the service's mean if unknown.
 func (s *selector) eventInterval(b *backend) time.Duration {
 	if b.interval > 0 {
 		return b.interval
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -6,11 +6,11 @@
 	"fireflyshift/internal/quarantine"
 )
 
-// trialTimeout is how long another trial of the same request waits for the outcome of one.
+// trialTimeout is how long the outcome of a trial is awaited before the same request may be tried again.
 const trialTimeout = 15 * time.Second
 
-// checkQuarantine tells whether a request is kept from backend servers, and for how long. One host of the fleet lets it run now
-// and then: an innocent one would otherwise be refused for a day.
+// checkQuarantine reports whether a request is kept from backend servers, and for how long. One host of the fleet
+// lets it run from time to time, as an innocent request would otherwise be refused for a day.
 func (r *Router) checkQuarantine(q *request) (time.Duration, bool) {
 	if q.Digest.Zero() || q.onTrial {
 		return 0, false
@@ -27,8 +27,8 @@
 	return max(time.Second, c.TrialAt()-r.now), true
 }
 
-// runsTrial tells whether this host is the one to let a request in quarantine run: the first of the first zone, among
-// those that are heard. Views that differ for a moment make it two.
+// runsTrial reports whether this host runs the trials of a quarantined request: the first by rendezvous hashing in
+// the first reachable zone. While views differ there may be two such hosts.
 func (r *Router) runsTrial(d quarantine.Digest) bool {
 	purpose := "tries " + d.String()
 	mine := roleScore(r.opt.Zone, purpose)
@@ -40,7 +40,7 @@
 	return r.hasRole(purpose, 1)
 }
 
-// refuseQuarantined ends a request that is in quarantine: truly as not run where it has not.
+// refuseQuarantined ends a quarantined request. It is reported as refused only if it has not run.
 func (r *Router) refuseQuarantined(q *request, back time.Duration) {
 	r.finish(q)
 	if q.ran {
--- a/internal/router/questions.go
+++ b/internal/router/questions.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// ownerCall is one that was put to another host: it is open, or its answer may still come.
+// ownerCall is a call to the owner of backend servers or quotas that is open or whose reply may still come.
 type ownerCall struct {
 	number    uint64
 	requestID uint64
 	owner     string
 	sentAt    time.Duration
-	// timedOut, as no answer came in time: what is granted later is given back.
+	// timedOut is set if no reply came in time. Anything granted later is returned.
 	timedOut bool
 }
 
 func (q *ownerCall) call() *ownerCall { return q }
 
-// ownerCalls are those of one kind, the oldest first.
+// ownerCalls holds the calls of one kind, the oldest first.
 type ownerCalls[Q interface{ call() *ownerCall }] struct {
 	pending    []Q
 	lastNumber uint64
 }
 
-// next is the number of a new question.
+// next returns the number of a new call.
 func (l *ownerCalls[Q]) next() uint64 {
 	l.lastNumber++
 	return l.lastNumber
@@ -31,7 +31,7 @@
 
 func (l *ownerCalls[Q]) add(q Q) { l.pending = append(l.pending, q) }
 
-// take finds the question that an answer belongs to, and forgets it.
+// take removes and returns the call that a reply belongs to.
 func (l *ownerCalls[Q]) take(from string, number uint64) (q Q, ok bool) {
 	i := slices.IndexFunc(l.pending, func(q Q) bool { return q.call().number == number && q.call().owner == from })
 	if i < 0 {
@@ -42,7 +42,7 @@
 	return q, true
 }
 
-// overdue are the questions that have not been answered in time. Each is named once.
+// overdue returns the calls that have timed out since the last time, and drops those older than lateReplyTTL.
 func (l *ownerCalls[Q]) overdue(now time.Duration) []Q {
 	for len(l.pending) > 0 && now-l.pending[0].call().sentAt > lateReplyTTL {
 		l.pending = l.pending[1:]
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -12,28 +12,29 @@
 	"fireflyshift/internal/routing"
 )
 
-// In a fleet of hundreds one host's part of a quota is smaller than one request, so that parts that are kept apart refuse
-// workspaces far under their quotas. So each workspace's quota has an owner in each availability zone, a host that all compute
-// alike. It is asked for each request and decides for its zone. What the owners of the zones admit they hear of each other as
-// hosts do, in beats and sums, but there are only as many of them as zones. A host whose question is not answered decides alone.
+// In a fleet of hundreds of hosts, one host's part of a quota is smaller than one request, so separate parts would refuse
+// workspaces far below their quotas. Each workspace's quota therefore has an owner in each availability zone, computed by every
+// host alike, which decides on each request in its zone. Owners learn what the other zones admitted from heartbeats and zone
+// summaries, as hosts do, but there are only as many owners as zones. A host whose call gets no reply decides locally.
 
-// quotaRequest is a question to a quota's owner.
+// quotaRequest is a call to a quota's owner.
 type quotaRequest struct {
 	ownerCall
 	workspace string
 	cost      float64
 }
 
-// quotaState is what this host knows of quotas beyond the buckets.
+// quotaState is the quota state of this host besides the token buckets.
 type quotaState struct {
-	// owners are by workspace, as long as the hosts of the zone stay the same.
+	// owners holds the owners by workspace. It is reset when the zone's owner candidates change.
 	owners  map[string][]string
 	pending ownerCalls[*quotaRequest]
 }
 
 func newQuotaState() quotaState { return quotaState{owners: map[string][]string{}} }
 
-// CostOf is what a request counts against a workspace's quota.
+// CostOf returns the cost of a request in the unit of the workspace's quota. hasTokens states whether the
+// token counts are known.
 func CostOf(w *routing.Workspace, hasTokens bool, prompt, output int) float64 {
 	switch {
 	case !w.InTokens:
@@ -45,7 +46,8 @@
 	}
 }
 
-// chargeQuota takes a request's cost from its workspace's quota, or asks its owner to, and sends the request on or refuses it.
+// chargeQuota charges a request to its workspace's quota, itself or through the quota's owner, and dispatches
+// or refuses the request.
 func (r *Router) chargeQuota(q *request) {
 	if q.Workspace == nil || r.quotas[q.Workspace.Name] == nil {
 		r.dispatchAdmitted(q)
@@ -61,8 +63,8 @@
 	}
 }
 
-// hostPart is the part of a host that decides for itself only, zonePart that of one that decides for the hosts of its zone that it
-// hears.
+// hostPart returns the quota part of a host that decides only for itself, zonePart that of one that decides for
+// the reachable hosts of its zone.
 func (r *Router) hostPart() limit.Scope {
 	known, heard := r.countHosts()
 	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(heard) / float64(known)}
@@ -74,14 +76,15 @@
 	return p
 }
 
-// quotaOwners are the hosts of this zone that decide for it over a workspace's quota: the first by rendezvous hashing of those that
-// live, stay and have run for long enough to know all others, and the one that is asked while it does not answer. Empty in a small
-// fleet, whose hosts decide alone, and where there is none.
+// quotaOwners returns the hosts of this zone that decide on a workspace's quota: the first by rendezvous hashing
+// over those that are up, not leaving and have run for long enough to know all others, and a second one that is
+// called while the first does not reply. It is empty in a small fleet, whose hosts decide locally, and if there
+// is no such host.
 func (r *Router) quotaOwners(workspace string) []string {
 	if !r.usesOwners() {
 		return nil
 	}
-	r.localShardOwners() // forgets the owners of quotas where the hosts have changed
+	r.localShardOwners() // resets the owners of quotas if the hosts have changed
 	owners, known := r.limits.owners[workspace]
 	if !known {
 		if r.owners.established {
@@ -93,7 +96,7 @@
 	return owners
 }
 
-// quotaOwner is the one of them to ask now; empty where none answers.
+// quotaOwner returns the quota owner to call now, or "" if none is expected to reply.
 func (r *Router) quotaOwner(workspace string) string {
 	for _, owner := range r.quotaOwners(workspace) {
 		if owner == r.opt.Host || r.canAsk(owner) {
@@ -103,7 +106,7 @@
 	return ""
 }
 
-// chargeLocally decides by what this host believes of the quota.
+// chargeLocally decides by this host's own view of the quota.
 func (r *Router) chargeLocally(q *request, part limit.Scope) {
 	quota := r.quotas[q.Workspace.Name]
 	ok, back := r.admit(quota, q.Cost, part)
@@ -143,8 +146,8 @@
 	r.emit(Send{To: []string{owner}, Packet: &gossippb.Packet{Charge: c}})
 }
 
-// handleQuotaRequest decides over another host's request, or takes back what has not run. Two hosts that disagree who owns a quota would
-// each give out their zone's part: only one that takes itself for an owner decides.
+// handleQuotaRequest decides on another host's request, or refunds one that has not run. If two hosts disagree
+// about the owner, both would grant their zone's part, so a host decides only if it considers itself an owner.
 func (r *Router) handleQuotaRequest(from string, c *gossippb.Charge) {
 	quota, known := r.quotas[c.Workspace]
 	cost := clampCost(c)
@@ -163,7 +166,7 @@
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Charged: answer}})
 }
 
-// maxCost bounds what one question can take from a quota: no engine's memory holds more tokens.
+// maxCost limits the cost of one request from another host. No engine's memory holds more tokens.
 const maxCost = 1 << 24
 
 func clampCost(c *gossippb.Charge) float64 {
@@ -173,7 +176,7 @@
 	return min(max(0, c.Cost), maxCost)
 }
 
-// handleQuotaReply takes an owner's answer.
+// handleQuotaReply processes an owner's reply.
 func (r *Router) handleQuotaReply(from string, a *gossippb.Charged) {
 	c, ok := r.limits.pending.take(from, a.Number)
 	if !ok {
@@ -207,16 +210,16 @@
 	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Basis: g})
 }
 
-// chargeWithoutOwner decides for a request whose owner does not.
+// chargeWithoutOwner decides locally on a request that no owner decides.
 func (r *Router) chargeWithoutOwner(q *request) {
 	if r.quotas[q.Workspace.Name] == nil {
-		r.dispatchAdmitted(q) // the quota was lifted meanwhile
+		r.dispatchAdmitted(q) // the quota was removed meanwhile
 		return
 	}
 	r.chargeLocally(q, r.hostPart())
 }
 
-// expireQuotaRequests asks the other owner where a question was not answered in time, or decides alone.
+// expireQuotaRequests passes requests whose owner did not reply in time to the next owner, or decides locally.
 func (r *Router) expireQuotaRequests() {
 	for _, c := range r.limits.pending.overdue(r.now) {
 		r.replyMissed(c.owner)
@@ -226,7 +229,7 @@
 	}
 }
 
-// chargeAtNextOwner asks the next owner where one does not decide, or decides alone.
+// chargeAtNextOwner calls the next owner if one does not decide, or decides locally.
 func (r *Router) chargeAtNextOwner(q *request) {
 	asked := q.quotaCall
 	q.quotaCall = nil
@@ -240,7 +243,7 @@
 	}
 }
 
-// nextQuotaOwner is the owner after the one that was asked; empty where there is none that answers.
+// nextQuotaOwner returns the owner after the one that was called, or "" if none is expected to reply.
 func (r *Router) nextQuotaOwner(asked *quotaRequest) string {
 	owners := r.quotaOwners(asked.workspace)
 	next := slices.Index(owners, asked.owner) + 1
@@ -253,7 +256,7 @@
 	return ""
 }
 
-// refund gives the cost back of what has not run.
+// refund returns the cost of a request that has not run.
 func (r *Router) refund(q *request) {
 	if !q.charged || q.ran {
 		return
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// maxRejects bounds the backend servers that may reject one request, and maxSends all tries, most
-	// of which then meet servers that are down.
+	// maxRejects limits the backend servers that may reject one request, and maxSends all attempts, most of
+	// which go to servers that are down.
 	maxRejects = 4
 	maxSends   = 8
-	// retryAfterDivisor: callers wait as told up to a third of the time they have left.
+	// retryAfterDivisor: callers honor a retry delay of up to a third of their remaining time.
 	retryAfterDivisor = 3
-	// minRetryAfter is the least time to come back, backRank what each rank of priority adds, and
-	// backSpread the random part, so that those who are refused together do not return together.
+	// minRetryAfter is the base of the retry delay, retryAfterPerRank is added for each rank of priority, and
+	// retryAfterJitter is the range of the random part, so that callers refused together do not retry together.
 	minRetryAfter     = 150 * time.Millisecond
 	retryAfterPerRank = 250 * time.Millisecond
 	retryAfterJitter  = 300 * time.Millisecond
-	// drainAcceptDuration is how long after its stop signal a host takes new requests as ever: until
-	// the balancer has seen two probes fail.
+	// drainAcceptDuration is how long after its stop signal a host accepts all requests: until the balancer
+	// has seen two probes fail.
 	drainAcceptDuration = 3 * time.Second
-	// DrainRetryAfter is when a caller whom a draining host turns away should come back: at once, as its next
-	// connection goes to another host. Told to wait like one for whom there is no place, nearly all such
-	// callers were late: a tenth of all while hosts were restarted one after the other.
+	// DrainRetryAfter is the retry delay sent by a draining host. It is short because the caller's next
+	// connection goes to another host: with the delay used under overload, nearly all such callers were late,
+	// a tenth of all requests during a rolling restart.
 	DrainRetryAfter = time.Millisecond
-	// drainPlainCutoff is how long before its end a draining host still takes plain calls.
+	// drainPlainCutoff is how long before its end a draining host still accepts plain calls.
 	drainPlainCutoff = 1500 * time.Millisecond
 )
 
@@ -37,34 +37,35 @@
 	backend *backend
 	attempt int
 	tried   []string
-	// ran is the at-most-once mark: it is set before a dispatch leaves the reducer and taken back
-	// only on proof that the backend server has not run it.
+	// ran is the at-most-once mark. It is set before a dispatch leaves the reducer and reset only on proof
+	// that the backend server has not run the request.
 	ran     bool
 	runs    int
 	sentAt  time.Duration
 	rejects int
-	// charged tells that its cost was taken from its workspace's quota: from what chargedBy holds of it, or where that is
-	// empty this host. charging is the open question for it.
+	// charged is set once the cost was deducted from the workspace's quota, by the host chargedBy, or by this
+	// host if that is empty. quotaCall is the open call for it.
 	charged   bool
 	chargedBy string
 	quotaCall *quotaRequest
-	// queued tells that its backend server was believed to be busy with others when it was sent.
+	// queued is set if the backend server seemed busy with other requests when this one was sent.
 	queued bool
-	// prefillTokens are the prompt tokens that its backend server has still to read; zero once its stream begins.
+	// prefillTokens is the request's part of its backend server's prefill backlog. It is zero once the stream
+	// has begun.
 	prefillTokens int
-	// retryPaid tells that the retry budget was spent when the move was decided.
+	// retryPaid is set if the retry budget was charged when the move was decided.
 	retryPaid bool
-	// slotCall is the open question for a place, full the owners that had none, and alone tells that an owner
-	// did not answer, so that this host decides. owner is who gave the place; empty where this host took it.
+	// slotCall is the open slot request and fullOwners are the owners without a free slot. decideLocally is
+	// set if an owner did not reply. owner granted the slot; it is empty if this host chose the backend server.
 	slotCall      *slotRequest
 	fullOwners    []string
 	decideLocally bool
 	owner         string
-	// onTrial tells that it runs though it is in quarantine, to show whether it does harm.
+	// onTrial is set if the request is quarantined but runs once to test whether it is harmful.
 	onTrial bool
 }
 
-// priority is where a request is counted among those in flight.
+// priority returns the index under which the request is counted among those in flight.
 func (q *request) priority() int { return min(int(q.Rank+0.5), priorities-1) }
 
 func (r *Router) submit(e Submit) {
@@ -90,13 +91,13 @@
 	r.chargeQuota(q)
 }
 
-// dispatchAdmitted sends a request on that its workspace's quota has room for.
+// dispatchAdmitted dispatches a request that was admitted by its workspace's quota.
 func (r *Router) dispatchAdmitted(q *request) {
 	r.retryBudget(q.service).Earn(r.now, r.hostCount())
 	r.dispatch(q)
 }
 
-// drainRefuses tells whether a draining host should no longer take a request.
+// drainRefuses reports whether this host is draining and no longer accepts the request.
 func (r *Router) drainRefuses(e Submit) bool {
 	if r.drain == nil {
 		return false
@@ -108,7 +109,7 @@
 	return e.Route.Kind == routing.Streaming || r.now > r.drain.Until-drainPlainCutoff
 }
 
-// dispatch finds a place for a request and sends it there.
+// dispatch chooses a backend server for a request and sends it there, or refuses it.
 func (r *Router) dispatch(q *request) {
 	q.fullOwners, q.decideLocally, q.owner = nil, false, ""
 	if back, yes := r.checkQuarantine(q); yes {
@@ -127,7 +128,7 @@
 	r.send(q, b, g)
 }
 
-// send counts a request at a backend server and lets it leave.
+// send counts a request at a backend server and emits its dispatch.
 func (r *Router) send(q *request, b *backend, g DecisionBasis) {
 	q.attempt++
 	q.backend = b
@@ -146,15 +147,15 @@
 }
 
 const (
-	// maxIdleConns bounds the idle connections to one backend server; more of a host's requests are
-	// seldom there at once.
+	// maxIdleConns limits the idle connections to one backend server. Few hosts have more requests there
+	// at once.
 	maxIdleConns = 8
-	// idleConnShare of a backend server's connections may be idle ones of all hosts; it resets what
-	// comes beyond its bound.
+	// idleConnShare is the share of a backend server's connections that the idle ones of all hosts may take.
+	// It resets connections beyond its limit.
 	idleConnShare = 0.5
 )
 
-// idleConnLimit is how many idle connections to a backend server this host may hold.
+// idleConnLimit returns the number of idle connections to a backend server that this host may keep.
 func (r *Router) idleConnLimit(b *backend) int {
 	s := r.table.Service(b.Service)
 	if s == nil || s.MaxConns == 0 {
@@ -163,12 +164,12 @@
 	return max(1, min(maxIdleConns, int(idleConnShare*float64(s.MaxConns))/r.hostCount()))
 }
 
-// grounds are those of any decision: by which news it is made.
+// grounds returns the grounds that all decisions share: the configuration version and the store's era.
 func (r *Router) grounds() DecisionBasis {
 	return DecisionBasis{Version: r.version(), Era: r.updates.completeTo.Era}
 }
 
-// refuse ends a request for which there is no place, truly: only what has not run is called so.
+// refuse ends a request for which no backend server has room. It is reported as refused only if it has not run.
 func (r *Router) refuse(q *request, g DecisionBasis) {
 	cause := Overloaded
 	if g.InFlight < 0 {
@@ -186,14 +187,14 @@
 	r.emit(Refuse{ID: q.ID, Cause: cause, RetryAfter: after, Basis: g})
 }
 
-// retryAfter is when a refused caller should return: the most urgent first, spread, and within the
-// part of its time that callers are willing to wait.
+// retryAfter returns the delay after which a refused caller should retry: the shortest for the most urgent,
+// with jitter, and within the part of its remaining time that a caller is willing to wait.
 func (r *Router) retryAfter(q *request) time.Duration {
 	back := minRetryAfter + time.Duration(q.Rank*float64(retryAfterPerRank)) + time.Duration(r.rng.Float64()*float64(retryAfterJitter))
 	return max(0, min(back, (q.Deadline-r.now)/retryAfterDivisor))
 }
 
-// callerGone ends a request whose caller left; the traffic side stops the work.
+// callerGone ends a request whose caller disconnected. The proxy stops the call itself.
 func (r *Router) callerGone(id uint64) {
 	if q, ok := r.requests[id]; ok {
 		r.releaseSlot(q, DispatchEnded{Outcome: Canceled})
@@ -228,7 +229,7 @@
 	}
 }
 
-// observedInterval is the pace that a whole answer showed: the time between events, or to a plain answer.
+// observedInterval returns the time between events of a complete answer, or the time to a plain answer.
 func observedInterval(q *request, e DispatchEnded) time.Duration {
 	if q.Route.Kind != routing.Streaming {
 		return e.First
@@ -236,7 +237,7 @@
 	return e.Interval
 }
 
-// recordOutcome learns from how a dispatch ended.
+// recordOutcome updates what is known of a backend server from the end of a dispatch.
 func (r *Router) recordOutcome(b *backend, q *request, e DispatchEnded) {
 	switch e.Outcome {
 	case Answered:
@@ -251,8 +252,8 @@
 			b.connectFailed(r.now)
 		}
 	case WrongInstance:
-		// The address belongs to another: this backend server is gone, whatever the store says. A crashed
-		// one starts again under a new id, while its old registration stays for some heartbeats.
+		// The address now belongs to another instance, so this backend server is gone even if it is still
+		// registered: one that crashed restarts under a new ID while its old registration stays for some heartbeats.
 		b.replaced = true
 		r.emit(Note{What: "backend server replaced", Subject: b.ID, Detail: b.Service})
 		r.recordBackendEnd(b)
@@ -263,8 +264,8 @@
 	}
 }
 
-// redispatch tries the next backend server after proof that nothing ran. What reached the first
-// one counts as an arrival all the same, so that a rejected send costs retry budget.
+// redispatch tries the next backend server on proof that the request did not run. A send that reached the
+// first one counts as an arrival there all the same, so a rejected send is charged to the retry budget.
 func (r *Router) redispatch(q *request, e DispatchEnded) {
 	q.tried = append(q.tried, q.backend.ID)
 	reached := e.Outcome != NotSent
@@ -278,7 +279,7 @@
 	r.dispatch(q)
 }
 
-// retry runs a request again where its kind, its route's bound and the retry budget allow it.
+// retry runs a request again if its kind, its route's limit and the retry budget allow it.
 func (r *Router) retry(q *request, e DispatchEnded) {
 	q.tried = append(q.tried, q.backend.ID)
 	allowed := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
@@ -296,9 +297,9 @@
 	r.emit(GiveUp{ID: q.ID, Cause: BackendLost, DeliverFailure: true})
 }
 
-// handleStalled decides whether a request whose backend server is silent moves to another one. It moves
-// only if it may run again, another has room, and the retry budget pays: a cut or a dead server shows
-// as silence, and callers leave a silent stream after a few seconds, but so does a long queue.
+// handleStalled decides whether a request whose backend server sends nothing moves to another one. It moves
+// only if it may run again, another server has room and the retry budget allows it. No data may mean a cut or
+// a crashed server, and callers abandon a stalled stream after a few seconds, but it may also mean a long queue.
 func (r *Router) handleStalled(id uint64) {
 	q, ok := r.requests[id]
 	if !ok {
@@ -317,13 +318,13 @@
 	r.emit(StallDecision{ID: id, Reassign: move})
 }
 
-// prefillDone takes a request's prompt out of what its backend server has still to read.
+// prefillDone removes a request's prompt from its backend server's prefill backlog.
 func (q *request) prefillDone() {
 	q.backend.ownLoad.prefillBacklog -= q.prefillTokens
 	q.prefillTokens = 0
 }
 
-// releaseSlot takes a request out of the counts of its backend server.
+// releaseSlot removes a request from the load of its backend server.
 func (r *Router) releaseSlot(q *request, e DispatchEnded) {
 	if q.backend == nil {
 		return
@@ -334,7 +335,7 @@
 	own.counts[p]--
 	q.prefillDone()
 	r.markLoadChanged()
-	r.invariants.Check(own.counts[p] >= 0 && own.prefillBacklog >= 0, "backend server %s has %d in flight, %d tokens unread", q.backend.ID, own.counts[p], own.prefillBacklog)
+	r.invariants.Check(own.counts[p] >= 0 && own.prefillBacklog >= 0, "backend server %s has %d requests in flight and a prefill backlog of %d tokens", q.backend.ID, own.counts[p], own.prefillBacklog)
 }
 
 func (r *Router) finish(q *request) {
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -7,26 +7,25 @@
 )
 
 const (
-	// prefillDecreaseWeight and readGrow are the weights of an observation of an engine's reading speed. Others'
-	// prompts make a stream begin later, never sooner: low values are near the truth.
+	// prefillDecreaseWeight and prefillIncreaseWeight are the weights of a new prefill time sample below and above the
+	// estimate. Other prompts can only delay a stream's first event, so low samples are closer to the true value.
 	prefillDecreaseWeight = 0.5
 	prefillIncreaseWeight = 0.05
-	// minPromptTokens is the shortest prompt, in tokens, whose first event tells the reading speed: below it
-	// the rest of a step and the way there weigh more.
+	// minPromptTokens is the shortest prompt whose time to first event is used as a prefill sample. With shorter
+	// ones, network latency and the rest of a decoding step dominate.
 	minPromptTokens = 300
-	// maxPrefillTime bounds what another host's word of a reading speed can do; engines here read a token in
-	// tens of microseconds.
+	// maxPrefillTime limits the prefill time per token accepted from other hosts. Engines need tens of microseconds.
 	maxPrefillTime = 10 * time.Millisecond
-	// speedChangeThreshold is by how much a speed must change to be told again.
+	// speedChangeThreshold is the relative change of a speed that is reported to other hosts.
 	speedChangeThreshold = 0.3
 )
 
-// speed is what is observed of an engine.
+// speed is the observed speed of an engine: the interval between events and the prefill time per prompt token.
 type speed struct{ interval, prefillTime time.Duration }
 
 func (b *backend) speed() speed { return speed{b.interval, b.prefillPerToken} }
 
-// differsFrom tells whether a speed is worth telling to those who know another.
+// differsFrom reports whether a speed differs enough from the one last reported to be reported again.
 func (s speed) differsFrom(told speed) bool {
 	off := func(a, b time.Duration) bool {
 		d := float64(a - b)
@@ -35,7 +34,7 @@
 	return off(s.interval, told.interval) || off(s.prefillTime, told.prefillTime)
 }
 
-// handleBegan takes the first event of a stream: its prompt is read.
+// handleBegan processes the first event of a stream: its prompt has been prefilled.
 func (r *Router) handleBegan(e StreamStarted) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil || q.prefillTokens == 0 {
@@ -57,8 +56,8 @@
 	}
 }
 
-// handlePaced takes the speed of a stream's first events, so that a slow engine is known before the first
-// stream there has ended.
+// handlePaced applies the interval between a stream's first events, so that a slow engine is detected before its
+// first stream ends.
 func (r *Router) handlePaced(e StreamProgress) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil {
@@ -85,7 +84,7 @@
 	}
 }
 
-// changedSpeeds are the speeds that others have not been told.
+// changedSpeeds returns the speeds that differ from those last reported to other hosts.
 func (r *Router) changedSpeeds() []*gossippb.Speed {
 	var out []*gossippb.Speed
 	for _, b := range r.allBackends() {
@@ -102,7 +101,7 @@
 	return &gossippb.Speed{Backend: b.hash, IntervalUs: uint32(b.interval.Microseconds()), ReadNs: uint32(b.prefillPerToken.Nanoseconds())}
 }
 
-// applyOwnerSpeed takes the word of a backend server's owner, which hears of all requests there.
+// applyOwnerSpeed applies the speed reported by a backend server's owner, which gets reports of all requests there.
 func (b *backend) applyOwnerSpeed(s *gossippb.Speed) {
 	if pace := time.Duration(s.IntervalUs) * time.Microsecond; pace > 0 && pace <= maxEventInterval {
 		b.interval = pace
@@ -112,7 +111,7 @@
 	}
 }
 
-// applySpeeds takes others' word of engines that this host has not observed itself.
+// applySpeeds applies other hosts' speeds of engines that this host has not observed itself.
 func (r *Router) applySpeeds(list []*gossippb.Speed) {
 	for _, s := range list {
 		b, ok := r.byHash[s.Backend]
@@ -128,8 +127,8 @@
 	}
 }
 
-// prefillBacklog is how many prompt tokens an engine is believed to have still to read. What others told is
-// worked off since.
+// prefillBacklog estimates the prompt tokens an engine has yet to process. The part reported by other hosts shrinks
+// with the time since the report.
 func (b *backend) prefillBacklog(now time.Duration) int {
 	others, at := b.othersLoad.prefillBacklog, b.othersReportedAt
 	if b.useOwnerReport {
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// endConfirmWindow is how long after a broken answer its backend server may show to have ended: a registration goes some
-	// seconds after the process.
+	// endConfirmWindow is how long after a broken answer the end of its backend server is attributed to it. A
+	// registration expires some seconds after the process ends.
 	endConfirmWindow = 10 * time.Second
-	// maxBrokenRequests bounds the broken runs that are remembered of one backend server until it shows whether it has ended.
+	// maxBrokenRequests limits the broken requests remembered per backend server until it is known whether it ended.
 	maxBrokenRequests = 64
-	// fullListSenders are the hosts of a zone that tell it all that is known.
+	// fullListSenders is the number of hosts in a zone that send the full list of suspects to it.
 	fullListSenders = 2
 )
 
-// suspectState is what this host knows of requests that end backend servers.
+// suspectState records the requests suspected of ending backend servers.
 type suspectState struct {
 	ledger *quarantine.Ledger
-	// nextFullListAt is when this host next tells its zone all.
+	// nextFullListAt is when this host next sends the full list to its zone.
 	nextFullListAt time.Duration
 	expireAt       time.Duration
-	// quarantined are the requests in quarantine, for the notes of changes.
+	// quarantined holds the requests in quarantine as last logged.
 	quarantined map[quarantine.Digest]bool
 }
 
@@ -40,11 +40,11 @@
 	at        time.Duration
 }
 
-// HasSuspects tells whether some requests are under suspicion, so that the digests of all are needed.
+// HasSuspects reports whether any request is suspected, so that the digests of all requests are needed.
 func (r *Router) HasSuspects() bool { return !r.suspects.ledger.Empty() }
 
-// recordRequestOutcome takes what the end of a dispatch says of the request itself. The same request in the hands of one backend
-// server after another that ends is most likely what ends them, and its callers repeat it at any host.
+// recordRequestOutcome records what the end of a dispatch shows of the request itself. If backend servers end one
+// after another while they run the same request, that request is the likely cause, and its callers repeat it at any host.
 func (r *Router) recordRequestOutcome(b *backend, q *request, e DispatchEnded) {
 	if !e.Digest.Zero() {
 		q.Digest = e.Digest
@@ -62,8 +62,8 @@
 	}
 }
 
-// holdSuspect remembers a request until it shows whether its backend server has ended. One that was leaving ends by itself: what was
-// still in flight there is innocent.
+// holdSuspect remembers a request until it is known whether its backend server has ended. The requests in flight at
+// a server that was leaving are not suspected, as it ends by itself.
 func (r *Router) holdSuspect(b *backend, q *request, e DispatchEnded) {
 	q.onTrial = false
 	run := brokenRequest{q.Digest, workspaceName(q), r.now}
@@ -90,14 +90,14 @@
 	return q.Workspace.Name
 }
 
-// handleChecked takes whether a backend server whose answer broke can still be reached.
+// handleChecked processes whether a backend server whose answer broke can still be reached.
 func (r *Router) handleChecked(e ProbeResult) {
 	b, ok := r.backends[e.ID]
 	if !ok || b.Start != e.Start {
 		return
 	}
 	if e.Reached {
-		// What broke before did not end it, whatever becomes of it later: those who are refused for that would be innocent.
+		// These requests did not end it, even if it ends later. Keeping them would quarantine innocent requests.
 		b.brokenRuns = nil
 	}
 	if !e.Refused {
@@ -108,7 +108,7 @@
 	r.recordBackendEnd(b)
 }
 
-// recordBackendEnd takes that a backend server has ended without leaving: what was in flight there is under suspicion.
+// recordBackendEnd records that a backend server ended without draining, and suspects the requests in flight there.
 func (r *Router) recordBackendEnd(b *backend) {
 	b.exited = true
 	broken := b.brokenRuns
@@ -120,17 +120,17 @@
 	}
 }
 
-// recordEndWithRequest books the end of a backend server on a request that was in flight there.
+// recordEndWithRequest adds the end of a backend server to the record of a request that was in flight there.
 func (r *Router) recordEndWithRequest(b *backend, run brokenRequest) {
 	if !r.suspects.ledger.Observe(r.now, run.digest, run.workspace, quarantine.End{Backend: b.hash, At: run.at}) {
 		return
 	}
 	r.emit(Note{What: "backend server ended with a request in hand", Subject: b.ID, Detail: run.digest.String() + " " + run.workspace})
 	r.logQuarantineChanges()
-	r.heartbeatPending = true // others are told at once
+	r.heartbeatPending = true // sends the next heartbeat early
 }
 
-// logQuarantineChanges tells the log which requests are in quarantine from now on, and which no longer are.
+// logQuarantineChanges logs which requests have entered or left quarantine.
 func (r *Router) logQuarantineChanges() {
 	now := map[quarantine.Digest]bool{}
 	for _, c := range r.suspects.ledger.Quarantined() {
@@ -156,7 +156,7 @@
 	return out
 }
 
-// expireSuspects forgets what is old.
+// expireSuspects drops expired records.
 func (r *Router) expireSuspects() {
 	if r.now < r.suspects.expireAt {
 		return
@@ -166,10 +166,10 @@
 	r.logQuarantineChanges()
 }
 
-// newSuspects are what this host has newly seen itself, for its beats.
+// newSuspects returns what this host has newly observed itself, for its heartbeats.
 func (r *Router) newSuspects() []*quarantinepb.Suspect { return r.suspects.ledger.OwnChanges(r.now) }
 
-// fullSuspectList are all requests that are known, if this host is to tell its zone of them now.
+// fullSuspectList returns all known suspects if this host is due to send them to its zone, or nil.
 func (r *Router) fullSuspectList() []*quarantinepb.Suspect {
 	if r.now < r.suspects.nextFullListAt || !r.HasSuspects() || !r.hasRole("tells suspects", fullListSenders) {
 		return nil
@@ -178,7 +178,7 @@
 	return r.suspects.ledger.Full(r.now)
 }
 
-// applySuspects takes what another host tells of requests.
+// applySuspects applies another host's report on requests.
 func (r *Router) applySuspects(list []*quarantinepb.Suspect) {
 	if r.suspects.ledger.Merge(r.now, list) {
 		r.logQuarantineChanges()
