--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -13,11 +13,10 @@
 
 func itoa(n int64) string { return strconv.FormatInt(n, 10) }
 
-// writeHead passes a backend server's status and headers on. A negative length leaves the framing
-// to the server: chunks.
-func (f *flight) writeHead(status int, from http.Header, length int64) {
-	h := f.w.Header()
-	f.closeIfDraining()
+// writeHead passes a backend server's status and headers on. With a negative length, net/http sends chunks.
+func (a *activeRequest) writeHead(status int, from http.Header, length int64) {
+	h := a.w.Header()
+	a.closeIfDraining()
 	closing := h.Get("Connection")
 	for name, values := range from {
 		h[name] = values
@@ -30,25 +29,26 @@
 		h.Set("Content-Length", itoa(length))
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // no guess of the library's
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
-	f.headWritten = true
-	f.w.WriteHeader(status)
+	a.headWritten = true
+	a.w.WriteHeader(status)
 }
 
-// closeIfDraining sends the caller's next request to another host; this one is answered in full.
-func (f *flight) closeIfDraining() {
-	if f.g.control.Draining() {
-		f.w.Header().Set("Connection", "close")
+// closeIfDraining makes the caller open a new connection, to another host, for its next request; this one is answered
+// in full.
+func (a *activeRequest) closeIfDraining() {
+	if a.g.control.Draining() {
+		a.w.Header().Set("Connection", "close")
 	}
 }
 
-func (f *flight) writeAnswer(a *heldAnswer) {
-	f.writeHead(a.status, a.header, int64(len(a.body)))
-	_, _ = f.w.Write(a.body)
+func (a *activeRequest) writeAnswer(answer *bufferedAnswer) {
+	a.writeHead(answer.status, answer.header, int64(len(answer.body)))
+	_, _ = a.w.Write(answer.body)
 }
 
-// refusalBody is the JSON of an answer of the system's own.
+// refusalBody is the JSON body of an error that the gateway itself returns.
 type refusalBody struct {
 	Error  string `json:"error"`
 	Remedy string `json:"remedy"`
@@ -66,143 +66,144 @@
 	string(router.ShutDown):    "this host is shutting down; send the request again on a new connection",
 	string(router.OutOfTime):   "allow more time",
 	string(router.Quarantined): "backend servers have ended each time they ran this request; change it, or ask the operator",
-	cutByShutdown:              "this host stopped before the answer was there; repeat the request only if it is idempotent",
+	interruptedByShutdown:      "this host stopped before the answer was there; repeat the request only if it is idempotent",
 	string(router.BackendLost): "the backend server was lost after the request was sent; repeat it only if it is idempotent",
 }
 
-// refuse answers for the system itself.
-func (f *flight) refuse(status int, cause string, after time.Duration) {
-	f.closeIfDraining()
-	h := f.w.Header()
-	if after > 0 {
-		h.Set("Retry-After", f.g.wire.RetryAfter(after))
+// refuse returns an error of the gateway itself.
+func (a *activeRequest) refuse(status int, cause string, retryAfter time.Duration) {
+	a.closeIfDraining()
+	h := a.w.Header()
+	if retryAfter > 0 {
+		h.Set("Retry-After", a.g.wire.RetryAfter(retryAfter))
 	}
 	data, err := json.Marshal(refusalBody{cause, remedies[cause]})
 	if err != nil {
-		f.g.log.Error().Err(err).Msg("Refusal without a body.")
+		a.g.log.Error().Err(err).Msg("Could not encode the error body.")
 	}
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(data)))
-	f.headWritten = true
-	f.w.WriteHeader(status)
-	_, _ = f.w.Write(data)
-	f.logEnd(cause, status)
+	a.headWritten = true
+	a.w.WriteHeader(status)
+	_, _ = a.w.Write(data)
+	a.logEnd(cause, status)
 }
 
-// refuseFor words a refusal of the reducer: nothing has run.
-func (f *flight) refuseFor(e router.Refuse) {
-	if f.headWritten {
-		f.logEnd(string(e.Cause), 0)
+// refuseByCause returns the reducer's refusal to the caller: nothing has run.
+func (a *activeRequest) refuseByCause(e router.Refuse) {
+	if a.headWritten {
+		a.logEnd(string(e.Cause), 0)
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusServiceUnavailable
 	if e.Cause == router.OverQuota {
 		status = http.StatusTooManyRequests
 	}
-	f.refuse(status, string(e.Cause), e.RetryAfter)
+	a.refuse(status, string(e.Cause), e.RetryAfter)
 }
 
-// giveUp ends a request that may have run. An answer that has begun is cut off so that it cannot be
-// taken for a whole one.
-func (f *flight) giveUp(e router.GiveUp) {
+// abandon ends a request that may have run. If the answer has begun, the connection is aborted so that a partial answer
+// cannot be taken for a complete one.
+func (a *activeRequest) abandon(e router.GiveUp) {
 	switch {
-	case f.headWritten:
-		f.logEnd(string(e.Cause), 0)
+	case a.headWritten:
+		a.logEnd(string(e.Cause), 0)
 		panic(http.ErrAbortHandler)
-	case e.DeliverFailure && f.held != nil:
-		f.writeAnswer(f.held)
-		f.logEnd("failure_passed_on", f.held.status)
-	case f.rest != nil && f.rest.tooLarge.Load():
-		f.refuse(http.StatusRequestEntityTooLarge, "body_too_large", 0)
+	case e.DeliverFailure && a.heldFailure != nil:
+		a.writeAnswer(a.heldFailure)
+		a.logEnd("failure_passed_on", a.heldFailure.status)
+	case a.bodyRest != nil && a.bodyRest.tooLarge.Load():
+		a.refuse(http.StatusRequestEntityTooLarge, "body_too_large", 0)
 	case e.Cause == router.OutOfTime:
-		f.refuse(http.StatusGatewayTimeout, string(e.Cause), 0)
+		a.refuse(http.StatusGatewayTimeout, string(e.Cause), 0)
 	default:
-		f.refuse(http.StatusBadGateway, string(e.Cause), 0)
+		a.refuse(http.StatusBadGateway, string(e.Cause), 0)
 	}
 }
 
-// logDispatch is the line of a decision to send.
-func (f *flight) logDispatch(d router.Dispatch) {
-	f.g.metrics.Count("requests.dispatched", 1)
-	f.g.trails.add(f.call.AttemptID, d.At, "sent to %s (attempt %d): %d in flight of at most %d, beliefs %s old, configuration %d",
+// logDispatch logs a dispatch to a backend server.
+func (a *activeRequest) logDispatch(d router.Dispatch) {
+	a.g.metrics.Count("requests.dispatched", 1)
+	a.g.histories.add(a.call.AttemptID, d.At, "sent to %s (attempt %d): %d in flight of at most %d, beliefs %s old, configuration %d",
 		d.Backend.ID, d.Attempt, d.Basis.InFlight, d.Basis.Limit, d.Basis.ViewAge, d.Basis.Version)
 	if d.Attempt > 1 {
-		f.g.metrics.Count("requests.sent_again", 1)
+		a.g.metrics.Count("requests.sent_again", 1)
 	}
-	f.g.log.Info().Str("id", f.call.AttemptID).Str("route", f.route.Name).Str("backend", d.Backend.ID).Int("attempt", d.Attempt).
+	a.g.log.Info().Str("id", a.call.AttemptID).Str("route", a.route.Name).Str("backend", d.Backend.ID).Int("attempt", d.Attempt).
 		Int("in_flight", d.Basis.InFlight).Int("limit", d.Basis.Limit).Int64("belief_age_ms", d.Basis.ViewAge.Milliseconds()).
 		Int64("expect_ms", d.Basis.Wait.Milliseconds()).Uint64("config", d.Basis.Version).Uint64("era", d.Basis.Era).Str("owner", d.Basis.Owner).Msg("Sent.")
 }
 
-// logRejected is the line of a backend server's word that it has not run the request.
-func (f *flight) logRejected(status int, sentAt time.Time) {
-	f.g.metrics.Count("requests.rejected", 1)
-	f.g.log.Info().Str("id", f.call.AttemptID).Str("backend", f.backend).Int("status", status).
-		Int64("after_ms", time.Since(sentAt).Milliseconds()).Msg("Not run by the backend server.")
+// logRejected logs a backend server's statement that it has not run the request.
+func (a *activeRequest) logRejected(status int, sentAt time.Time) {
+	a.g.metrics.Count("requests.rejected", 1)
+	a.g.log.Info().Str("id", a.call.AttemptID).Str("backend", a.backend).Int("status", status).
+		Int64("after_ms", time.Since(sentAt).Milliseconds()).Msg("Backend server rejected the request without running it.")
 }
 
 const (
-	// answered is the outcome of a request whose whole answer went to its caller.
+	// answered is the outcome of a request whose complete answer was written to its caller.
 	answered = "answered"
-	// cutByShutdown is that of one that was sent on and had no whole answer as the grace of its host ended.
-	cutByShutdown = "cut_by_shutdown"
+	// interruptedByShutdown is the outcome of a request that was sent to a backend server and had no complete answer at
+	// the end of the host's grace period.
+	interruptedByShutdown = "cut_by_shutdown"
 )
 
-// late tells why an answer missed its objective: a stream by its first event or by a pause between two,
-// a plain answer as a whole; empty where it did not. What the caller lost in an earlier try is not known.
-func (f *flight) late(took time.Duration) string {
-	r := f.route
+// late returns what made an answer miss its objective, or "": a stream its first event or a gap between two, a plain
+// answer its total time. Time lost in the caller's earlier attempts is not known here.
+func (a *activeRequest) late(took time.Duration) string {
+	r := a.route
 	switch {
 	case r.Kind != routing.Streaming:
 		if r.Target > 0 && took > r.Target {
 			return "answer"
 		}
-	case r.Target > 0 && f.firstByte > r.Target:
+	case r.Target > 0 && a.firstByte > r.Target:
 		return "first"
-	case r.MaxGap > 0 && f.pauses.longest > r.MaxGap:
+	case r.MaxGap > 0 && a.pauses.longest > r.MaxGap:
 		return "pause"
 	}
 	return ""
 }
 
-// logEnd is the line of a request's end.
-func (f *flight) logEnd(outcome string, status int) {
-	f.g.metrics.Count("requests."+outcome, 1)
-	took := time.Since(f.began)
-	f.g.trails.add(f.call.AttemptID, f.beganAt+took, "ended: %s", outcome)
-	f.g.metrics.Timer("requests.time").Update(took)
-	e := f.g.log.Info().Str("id", f.call.AttemptID).Str("outcome", outcome).Int64("ms", took.Milliseconds())
-	if f.route != nil {
-		e = e.Str("route", f.route.Name).Float64("rank", f.rank).Int64("target_ms", f.route.Target.Milliseconds()).
-			Int64("allowed_ms", f.allowed.Milliseconds())
+// logEnd logs and counts the end of a request.
+func (a *activeRequest) logEnd(outcome string, status int) {
+	a.g.metrics.Count("requests."+outcome, 1)
+	took := time.Since(a.startedAt)
+	a.g.histories.add(a.call.AttemptID, a.startedOnControl+took, "ended: %s", outcome)
+	a.g.metrics.Timer("requests.time").Update(took)
+	e := a.g.log.Info().Str("id", a.call.AttemptID).Str("outcome", outcome).Int64("ms", took.Milliseconds())
+	if a.route != nil {
+		e = e.Str("route", a.route.Name).Float64("rank", a.rank).Int64("target_ms", a.route.Target.Milliseconds()).
+			Int64("allowed_ms", a.allowed.Milliseconds())
 	}
-	if f.call.HasTokens {
-		e = e.Int("prompt", f.call.PromptTokens).Int("output", f.call.OutputTokens).Int("hint", f.call.LengthHint)
+	if a.call.HasTokens {
+		e = e.Int("prompt", a.call.PromptTokens).Int("output", a.call.OutputTokens).Int("hint", a.call.LengthHint)
 	}
-	if f.pauses.longest > 0 {
-		e = e.Int64("pause_ms", f.pauses.longest.Milliseconds())
+	if a.pauses.longest > 0 {
+		e = e.Int64("pause_ms", a.pauses.longest.Milliseconds())
 	}
 	if outcome == answered {
-		if late := f.late(took); late != "" {
-			f.g.metrics.Count("requests.late_"+late, 1)
+		if late := a.late(took); late != "" {
+			a.g.metrics.Count("requests.late_"+late, 1)
 			e = e.Str("late", late)
 		}
 	}
-	if f.workspace != nil {
-		e = e.Str("workspace", f.workspace.Name)
+	if a.workspace != nil {
+		e = e.Str("workspace", a.workspace.Name)
 	}
 	if status != 0 {
 		e = e.Int("status", status)
 	}
-	if f.attempts > 0 {
-		e = e.Str("backend", f.backend).Int("attempts", f.attempts).Int64("first_ms", f.firstByte.Milliseconds()).Int64("last_event", f.lastEvent)
+	if a.attempts > 0 {
+		e = e.Str("backend", a.backend).Int("attempts", a.attempts).Int64("first_ms", a.firstByte.Milliseconds()).Int64("last_event", a.lastEvent)
 	} else {
-		e = e.Int("in_flight", f.grounds.InFlight).Int("limit", f.grounds.Limit).Int64("belief_age_ms", f.grounds.ViewAge.Milliseconds()).
-			Int("known", f.grounds.Known).Int("full", f.grounds.Full).Int("dead", f.grounds.Unreachable).Int("cold", f.grounds.Cold).Int("barred", f.grounds.Excluded).Uint64("config", f.grounds.Version).Uint64("era", f.grounds.Era)
+		e = e.Int("in_flight", a.basis.InFlight).Int("limit", a.basis.Limit).Int64("belief_age_ms", a.basis.ViewAge.Milliseconds()).
+			Int("known", a.basis.Known).Int("full", a.basis.Full).Int("dead", a.basis.Unreachable).Int("cold", a.basis.Cold).Int("barred", a.basis.Excluded).Uint64("config", a.basis.Version).Uint64("era", a.basis.Era)
 	}
 	if outcome == string(router.OverQuota) {
-		g := f.grounds.Quota
-		e = e.Str("owner", f.grounds.Owner).Float64("cost", g.Cost).Float64("quota_left", math.Round(g.Remaining)).Float64("own_part_left", math.Round(g.OwnShare))
+		g := a.basis.Quota
+		e = e.Str("owner", a.basis.Owner).Float64("cost", g.Cost).Float64("quota_left", math.Round(g.Remaining)).Float64("own_part_left", math.Round(g.OwnShare))
 	}
 	e.Msg("Ended.")
 }
--- /dev/null
+++ b/internal/gateway/codec.go
@@ -0,0 +1,54 @@
+// Package gateway serves callers on the platform's path: it reads a request, asks the reducer where to send it, and
+// relays the request and its answer byte for byte. The reducer makes the decisions; HeaderCodec hides the platform's
+// header names.
+package gateway
+
+import (
+	"net/http"
+	"time"
+)
+
+// RequestInfo holds what the platform's headers of a request state.
+type RequestInfo struct {
+	// AttemptID is the caller's ID of this attempt; each retry has another.
+	AttemptID string
+	Key       string
+	// Deadline is how long the caller waits; zero if not stated.
+	Deadline time.Duration
+	// LastEvent is the last event of an earlier stream that the caller has received.
+	LastEvent    string
+	HasTokens    bool
+	PromptTokens int
+	OutputTokens int // at most
+	LengthHint   int // the caller's estimate of the output tokens; zero where unknown
+}
+
+// DispatchInfo holds what one dispatch adds to a request's headers.
+type DispatchInfo struct {
+	Backend   string // ID of the only backend server that may run the request
+	Workspace string
+	Left      time.Duration
+	LastEvent string // of a stream that is resumed; empty otherwise
+}
+
+// AnswerInfo holds what a backend server states in the headers of its answer.
+type AnswerInfo struct {
+	AttemptID string
+	// Signed is set if the answer carries a backend server's signature.
+	Signed bool
+	// NotRun is set if the backend server states that it has not run the request.
+	NotRun bool
+	// Leaving is set if the backend server announces that it is about to shut down.
+	Leaving bool
+	// HoldOff is how long a backend server that rejected the request wants no further requests from this host; zero if
+	// not stated.
+	HoldOff time.Duration
+}
+
+// HeaderCodec translates between the platform's headers and this package's types.
+type HeaderCodec interface {
+	Read(h http.Header) RequestInfo
+	Prepare(h http.Header, s DispatchInfo)
+	Classify(status int, h http.Header) AnswerInfo
+	RetryAfter(d time.Duration) string
+}
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -8,33 +8,33 @@
 	"github.com/gravitational/trace"
 )
 
-// maxEvent bounds one event of a stream; engines send some dozens of bytes.
+// maxEvent bounds one event of a stream, in bytes; engines send a few dozen.
 const maxEvent = 1 << 20
 
-// eventReader cuts an event stream into whole events. Only whole events are passed on: a stream
-// that breaks inside one can then go on at another engine without a torn event in the middle.
+// eventReader splits an event stream into complete events. Only complete events are passed on: a stream that breaks off
+// within an event can then be resumed at another engine without a partial event in the middle.
 type eventReader struct {
-	src io.Reader
-	buf []byte
-	end int // bytes of buf that hold data
-	at  int // start of what has not been returned
+	src    io.Reader
+	buf    []byte
+	end    int // bytes of buf that hold data
+	unread int // start of the data that has not been returned
 }
 
 func newEventReader(src io.Reader) *eventReader {
 	return &eventReader{src: src, buf: make([]byte, 4<<10)}
 }
 
-// next returns the whole events that are there, at least one. At the end of the stream it returns
-// io.EOF, and io.ErrUnexpectedEOF where the stream ends inside an event.
+// next returns the complete events received so far, at least one. At the end of the stream it returns io.EOF, or
+// io.ErrUnexpectedEOF if the stream ends within an event.
 func (e *eventReader) next() ([]byte, error) {
 	for {
-		if n := lastBoundary(e.buf[e.at:e.end]); n > 0 {
-			out := e.buf[e.at : e.at+n]
-			e.at += n
+		if n := lastBoundary(e.buf[e.unread:e.end]); n > 0 {
+			out := e.buf[e.unread : e.unread+n]
+			e.unread += n
 			return out, nil
 		}
 		if err := e.fill(); err != nil {
-			if err == io.EOF && e.at < e.end {
+			if err == io.EOF && e.unread < e.end {
 				return nil, io.ErrUnexpectedEOF
 			}
 			return nil, err
@@ -43,10 +43,10 @@
 }
 
 func (e *eventReader) fill() error {
-	if e.at > 0 {
-		copy(e.buf, e.buf[e.at:e.end])
-		e.end -= e.at
-		e.at = 0
+	if e.unread > 0 {
+		copy(e.buf, e.buf[e.unread:e.end])
+		e.end -= e.unread
+		e.unread = 0
 	}
 	if e.end == len(e.buf) {
 		if len(e.buf) >= maxEvent {
@@ -62,7 +62,7 @@
 	return err
 }
 
-// lastBoundary is the end of the last whole event in b; zero if there is none.
+// lastBoundary returns the end of the last complete event in b, or zero.
 func lastBoundary(b []byte) int {
 	end := 0
 	for _, sep := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
@@ -73,9 +73,8 @@
 	return end
 }
 
-// cutEvents splits whole events into single ones and calls f with each and its id; id is negative
-// where an event has none.
-func cutEvents(b []byte, f func(event []byte, id int64)) {
+// splitEvents calls f for each of the complete events in b with the event's ID, or -1 if it has none.
+func splitEvents(b []byte, f func(event []byte, id int64)) {
 	for len(b) > 0 {
 		n := firstBoundary(b)
 		f(b[:n], eventID(b[:n]))
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An engine cuts its stream anywhere and sends what it likes. Callers get whole events only, byte for
-// byte and in order, however the bytes are cut on the way; and an end inside an event is told as one.
+// An engine may break its stream off anywhere and send any bytes. Callers must get complete events only, byte for byte
+// and in order, however the bytes are split into reads, and an end within an event must be reported as one.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), uint8(1))
 	f.Add([]byte("id: 1\r\ndata: a\r\n\r\nid: 2"), uint8(3))
@@ -35,7 +35,7 @@
 				return
 			}
 			var parts []byte
-			cutEvents(chunk, func(event []byte, _ int64) {
+			splitEvents(chunk, func(event []byte, _ int64) {
 				blank := len(bytes.Trim(event, "\r\n")) == 0 // lines between events
 				require.True(t, blank || bytes.HasSuffix(event, []byte("\n\n")) || bytes.HasSuffix(event, []byte("\r\n\r\n")))
 				parts = append(parts, event...)
--- /dev/null
+++ b/internal/gateway/request.go
@@ -0,0 +1,376 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"fireflyshift/internal/ingress"
+	"fireflyshift/internal/quarantine"
+	"fireflyshift/internal/router"
+	"fireflyshift/internal/routing"
+	"fireflyshift/internal/upstream"
+)
+
+// dispatchTTL is how long a dispatch decision is valid on the boot-time clock. A machine that was suspended between the
+// decision and the send would otherwise act on an outdated view.
+const dispatchTTL = 250 * time.Millisecond
+
+// activeRequest is one caller's request on this host.
+type activeRequest struct {
+	g                *Gateway
+	w                http.ResponseWriter
+	r                *http.Request
+	call             RequestInfo
+	route            *routing.Route
+	workspace        *routing.Workspace
+	rank             float64
+	id               uint64
+	effects          chan router.Effect
+	startedAt        time.Time
+	startedOnControl time.Duration // on the control thread's clock
+	allowed          time.Duration // from startedAt until the request is abandoned
+	deadline         time.Time
+	body             []byte
+	bodyRest         *trackedBody
+	// headWritten is set once the caller has a status; lastEvent is the last event that the caller has.
+	headWritten bool
+	lastEvent   int64
+	heldFailure *bufferedAnswer
+	basis       router.DecisionBasis
+	backend     string
+	attempts    int
+	// mayHaveRun is set once bytes of the request have left this host, also if a backend server states that it has not
+	// run the request: the cautious assumption.
+	mayHaveRun bool
+	firstByte  time.Duration
+	pauses     pauseTracker
+	canceler   callCanceler
+	// cachedDigest is the request's digest; zero until it is computed.
+	cachedDigest quarantine.Digest
+}
+
+// digest computes the digest on first use: most requests never need it.
+func (a *activeRequest) digest() quarantine.Digest {
+	if !a.cachedDigest.Zero() {
+		return a.cachedDigest
+	}
+	id := quarantine.Identity{Method: a.r.Method, Host: routing.HostName(a.r.Host), Target: a.r.RequestURI, Body: a.body, Length: int64(len(a.body))}
+	if a.workspace != nil {
+		id.Workspace = a.workspace.Name
+	}
+	if a.bodyRest != nil {
+		id.Length = a.r.ContentLength
+	}
+	a.cachedDigest = id.Digest()
+	return a.cachedDigest
+}
+
+// bufferedAnswer is a complete answer of a backend server. A failure is kept and delivered if no attempt brings a
+// better answer.
+type bufferedAnswer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// setDeadline uses the caller's deadline or the route's timeout, whichever ends first.
+func (a *activeRequest) setDeadline() {
+	a.allowed = a.call.Deadline
+	if a.allowed == 0 {
+		a.allowed = defaultDeadline
+	}
+	if t := a.route.Timeout; t > 0 {
+		a.allowed = min(a.allowed, t)
+	}
+	a.deadline = a.startedAt.Add(a.allowed)
+}
+
+// readBody reads up to maxBufferedBody of the body, within the request's deadline. It reports false if it has already
+// answered the request.
+func (a *activeRequest) readBody(limit int64) bool {
+	if a.r.ContentLength == 0 {
+		return true
+	}
+	if limit > 0 && a.r.ContentLength > limit {
+		a.w.Header().Set("Connection", "close") // instead of reading the rejected body
+		a.refuse(http.StatusRequestEntityTooLarge, "body_too_large", 0)
+		return false
+	}
+	if limit > 0 {
+		a.r.Body = http.MaxBytesReader(a.w, a.r.Body, limit)
+	}
+	rc := http.NewResponseController(a.w)
+	_ = rc.SetReadDeadline(a.deadline)
+	stop := ingress.AbortReads(a.g.ending, rc)
+	body, err := io.ReadAll(io.LimitReader(a.r.Body, maxBufferedBody))
+	stop()
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLarge):
+		a.refuse(http.StatusRequestEntityTooLarge, "body_too_large", 0)
+		return false
+	case errors.Is(err, os.ErrDeadlineExceeded) && a.g.ended():
+		a.w.Header().Set("Connection", "close")
+		a.refuse(http.StatusRequestTimeout, string(router.ShutDown), router.DrainRetryAfter)
+		return false
+	case errors.Is(err, os.ErrDeadlineExceeded):
+		a.w.Header().Set("Connection", "close")
+		a.refuse(http.StatusRequestTimeout, "slow_body", 0)
+		return false
+	case err != nil:
+		// The caller closed the connection in the middle of its request, so there is no one to answer.
+		a.logEnd("body_broken", 0)
+		panic(http.ErrAbortHandler)
+	}
+	a.body = body
+	if len(body) == maxBufferedBody {
+		a.bodyRest = &trackedBody{src: a.r.Body}
+		return true
+	}
+	// A read deadline left in place would also end net/http's detection that the caller has closed the connection.
+	_ = rc.SetReadDeadline(time.Time{})
+	return true
+}
+
+// trackedBody records whether reading failed because the caller's body is too large.
+type trackedBody struct {
+	src      io.Reader
+	tooLarge atomic.Bool
+}
+
+// Read implements io.Reader.
+func (b *trackedBody) Read(p []byte) (int, error) {
+	n, err := b.src.Read(p)
+	var large *http.MaxBytesError
+	if errors.As(err, &large) {
+		b.tooLarge.Store(true)
+	}
+	return n, err
+}
+
+// run submits the request to the reducer and carries out its effects until it is finished.
+func (a *activeRequest) run() {
+	a.id = a.g.lastID.Add(1)
+	a.effects = make(chan router.Effect, effectBuffer)
+	a.g.control.Submit(a.submission(), Caller{a.effects, a.canceler.abort})
+	for e := range a.effects {
+		switch e := e.(type) {
+		case router.Dispatch:
+			a.backend, a.attempts = e.Backend.ID, e.Attempt
+			if e.Attempt == 1 {
+				a.basis = e.Basis
+			}
+			a.logDispatch(e)
+			end := a.dispatch(e)
+			end.ID, end.Digest = a.id, a.outcomeDigest(end)
+			a.g.control.Post(end)
+			if end.Outcome == router.Answered {
+				a.logEnd(answered, 0)
+				return
+			}
+			if end.Outcome == router.Canceled {
+				a.canceled()
+				return
+			}
+		case router.Refuse:
+			a.basis = e.Basis
+			a.refuseByCause(e)
+			return
+		case router.GiveUp:
+			a.abandon(e)
+			return
+		}
+	}
+}
+
+// canceled ends a request whose caller has closed the connection, or whose host ends.
+func (a *activeRequest) canceled() {
+	switch {
+	case a.r.Context().Err() != nil || !a.g.ended():
+		a.logEnd("caller_left", 0)
+		panic(http.ErrAbortHandler)
+	case a.mayHaveRun:
+		a.abandon(router.GiveUp{Cause: interruptedByShutdown, DeliverFailure: true})
+	default:
+		a.refuse(http.StatusServiceUnavailable, string(router.ShutDown), router.DrainRetryAfter)
+	}
+}
+
+// outcomeDigest returns the digest if the outcome may reveal something about the request itself: its answer broke off,
+// or it succeeded while requests are under suspicion.
+func (a *activeRequest) outcomeDigest(end router.DispatchEnded) quarantine.Digest {
+	switch end.Outcome {
+	case router.Broken, router.TimedOut, router.Canceled:
+		return a.digest()
+	case router.Answered:
+		if a.g.control.Suspects() {
+			return a.digest()
+		}
+	}
+	return quarantine.Digest{}
+}
+
+func (a *activeRequest) submission() router.Submit {
+	s := router.Submit{
+		ID: a.id, Route: a.route, Workspace: a.workspace, Rank: a.rank,
+		PromptTok: a.call.PromptTokens, OutputTok: a.call.OutputTokens, Deadline: a.startedOnControl + a.allowed,
+	}
+	if a.g.control.Suspects() {
+		s.Digest = a.digest()
+	}
+	if a.call.LengthHint > 0 {
+		s.OutputTok = min(s.OutputTok, a.call.LengthHint)
+	}
+	if w := a.workspace; w != nil {
+		s.Cost = router.CostOf(w, a.call.HasTokens, a.call.PromptTokens, a.call.OutputTokens)
+	}
+	return s
+}
+
+// hopHeaders apply to one connection only.
+var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding",
+	"Upgrade", "Expect", "Content-Length", "Host"}
+
+func dropHop(h http.Header) {
+	for _, list := range h.Values("Connection") {
+		for _, name := range strings.Split(list, ",") {
+			h.Del(strings.TrimSpace(name))
+		}
+	}
+	for _, name := range hopHeaders {
+		h.Del(name)
+	}
+}
+
+// dispatch sends the request once and relays the answer.
+func (a *activeRequest) dispatch(d router.Dispatch) router.DispatchEnded {
+	if a.g.ended() {
+		return router.DispatchEnded{Outcome: router.Canceled}
+	}
+	if !a.permitted(d) {
+		return router.DispatchEnded{Outcome: router.NotSent}
+	}
+	ctx, cancel := context.WithCancel(a.r.Context())
+	defer cancel()
+	defer context.AfterFunc(a.g.ending, cancel)()
+	a.canceler.start(d.Attempt, cancel)
+	sentAt := time.Now()
+	resp, sent, err := a.g.pool.Do(ctx, d.Backend.Addr, a.request(d))
+	a.mayHaveRun = a.mayHaveRun || sent
+	if err != nil {
+		return a.classifyFailure(sent, err)
+	}
+	defer resp.Close()
+	end := a.relay(d.Backend, resp, sentAt)
+	end.Success = end.Outcome == router.Answered && isSuccess(resp.Status)
+	return end
+}
+
+// permitted reports whether the decision is still valid, the deadline has not passed and the host is not ending.
+func (a *activeRequest) permitted(d router.Dispatch) bool {
+	now := a.g.control.Now()
+	return now <= d.At+dispatchTTL && now < a.startedOnControl+a.allowed && !a.g.ended()
+}
+
+const (
+	// Callers abandon a stream that sends nothing for the longest of minCallerTimeout, callerTimeoutTargets times its
+	// objective and callerTimeoutGaps times its maximum gap. A move to another backend server has to happen well before
+	// that: after stallFirstFraction of it before the first event, which may have to queue, and stallNextFraction
+	// between events.
+	minCallerTimeout     = 2 * time.Second
+	callerTimeoutTargets = 4
+	callerTimeoutGaps    = 8
+	stallFirstFraction   = 0.45
+	stallNextFraction    = 0.3
+	// stallPlainTargets is how many times its objective a plain answer may take.
+	stallPlainTargets = 2.5
+)
+
+// stallTimeouts returns how long a backend server may send nothing before the first byte and after it; zero if the
+// request cannot be retried anyway.
+func (a *activeRequest) stallTimeouts() (first, next time.Duration) {
+	if !a.route.Repeatable() || a.bodyRest != nil {
+		return 0, 0
+	}
+	if a.route.Kind != routing.Streaming {
+		d := time.Duration(stallPlainTargets * float64(a.route.Target))
+		return d, d
+	}
+	callerTimeout := float64(max(minCallerTimeout, callerTimeoutTargets*a.route.Target, callerTimeoutGaps*a.route.MaxGap))
+	return time.Duration(stallFirstFraction * callerTimeout), time.Duration(stallNextFraction * callerTimeout)
+}
+
+// shouldMove asks the reducer whether to abandon a backend server that sends nothing.
+func (a *activeRequest) shouldMove() bool {
+	a.g.control.Post(router.Stalled{ID: a.id})
+	v, ok := (<-a.effects).(router.StallDecision)
+	if ok && v.Reassign {
+		a.g.log.Info().Str("id", a.call.AttemptID).Str("backend", a.backend).Int64("last_event", a.lastEvent).Msg("No data within the stall timeout. Moving the request to another backend server.")
+	}
+	return ok && v.Reassign
+}
+
+func (a *activeRequest) request(d router.Dispatch) *upstream.Request {
+	h := a.r.Header.Clone()
+	dropHop(h)
+	s := DispatchInfo{Backend: d.Backend.ID, Left: time.Until(a.deadline)}
+	if a.workspace != nil {
+		s.Workspace = a.workspace.Name
+	}
+	if a.lastEvent > 0 {
+		s.LastEvent = itoa(a.lastEvent)
+	}
+	a.g.wire.Prepare(h, s)
+	req := &upstream.Request{
+		Method: a.r.Method, Target: a.r.RequestURI, Host: a.r.Host, Header: h,
+		Body: a.body, Length: int64(len(a.body)), Deadline: a.deadline,
+		IsOwn: func(h http.Header) bool {
+			id := a.g.wire.Classify(0, h).AttemptID
+			return id == "" || id == a.call.AttemptID
+		},
+	}
+	if a.bodyRest != nil {
+		req.Rest, req.Length = a.bodyRest, a.r.ContentLength
+	}
+	req.MaxIdle = d.MaxIdleConns
+	req.Permitted = func() bool { return a.permitted(d) }
+	req.StallTimeout, _ = a.stallTimeouts()
+	req.OnStall = a.shouldMove
+	return req
+}
+
+// classifyFailure returns the outcome of a call that brought no complete answer.
+func (a *activeRequest) classifyFailure(sent bool, err error) router.DispatchEnded {
+	switch {
+	case a.r.Context().Err() != nil || a.g.ended():
+		return router.DispatchEnded{Outcome: router.Canceled}
+	case !sent && !time.Now().Before(a.deadline):
+		return router.DispatchEnded{Outcome: router.NotSent}
+	case errors.Is(err, upstream.ErrNotPermitted):
+		a.g.log.Info().Str("id", a.call.AttemptID).Str("backend", a.backend).Msg("Dispatch decision expired before the send.")
+		return router.DispatchEnded{Outcome: router.NotSent} // no fault of the backend server
+	case !sent:
+		a.g.log.Info().Str("id", a.call.AttemptID).Str("backend", a.backend).Err(err).Msg("Request not sent to the backend server.")
+		return router.DispatchEnded{Outcome: router.NotSent, Fault: true}
+	case !time.Now().Before(a.deadline):
+		return router.DispatchEnded{Outcome: router.TimedOut}
+	default:
+		a.g.log.Info().Str("id", a.call.AttemptID).Str("backend", a.backend).Err(err).Stringer("digest", a.digest()).
+			Int64("last_event", a.lastEvent).Msg("Call broke off after the request was sent.")
+		return router.DispatchEnded{Outcome: a.withoutRetry(router.Broken), Fault: true, Delivered: a.headWritten}
+	}
+}
+
+// withoutRetry turns a broken call into a time-out, which is not retried, if the body was not buffered completely.
+func (a *activeRequest) withoutRetry(o router.Outcome) router.Outcome {
+	if a.bodyRest != nil && o == router.Broken {
+		return router.TimedOut
+	}
+	return o
+}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -14,19 +14,19 @@
 	"fireflyshift/internal/telemetry"
 )
 
-// starting is the control thread of a host that knows no configuration yet.
-type starting struct {
+// unconfiguredControl is the control thread of a host that has no configuration yet.
+type unconfiguredControl struct {
 	table      *routing.Table
 	configured chan struct{}
 }
 
-func (s *starting) Submit(router.Submit, Caller) {}
-func (s *starting) Post(router.Event)            {}
-func (s *starting) Now() time.Duration           { return 0 }
-func (s *starting) Draining() bool               { return false }
-func (s *starting) Suspects() bool               { return false }
-func (s *starting) Configured() <-chan struct{}  { return s.configured }
-func (s *starting) Table() *routing.Table {
+func (s *unconfiguredControl) Submit(router.Submit, Caller) {}
+func (s *unconfiguredControl) Post(router.Event)            {}
+func (s *unconfiguredControl) Now() time.Duration           { return 0 }
+func (s *unconfiguredControl) Draining() bool               { return false }
+func (s *unconfiguredControl) Suspects() bool               { return false }
+func (s *unconfiguredControl) Configured() <-chan struct{}  { return s.configured }
+func (s *unconfiguredControl) Table() *routing.Table {
 	select {
 	case <-s.configured:
 		return s.table
@@ -35,25 +35,25 @@
 	}
 }
 
-// headerless is a wire whose calls say nothing.
-type headerless struct{ HeaderCodec }
+// emptyCodec reads no information from request headers.
+type emptyCodec struct{ HeaderCodec }
 
-func (headerless) Read(http.Header) RequestInfo      { return RequestInfo{} }
-func (headerless) RetryAfter(d time.Duration) string { return d.String() }
+func (emptyCodec) Read(http.Header) RequestInfo      { return RequestInfo{} }
+func (emptyCodec) RetryAfter(d time.Duration) string { return d.String() }
 
-// A host starts and a caller's request is already there. A moment later the host has its configuration: the
-// request goes by it. Only where none comes is the caller told to come back, since nothing has run.
+// A request arrives while its host is starting, a moment before the configuration does. The request must wait for it.
+// Only if no configuration arrives is the caller told to retry, since nothing has run.
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
-	s := &starting{table: routing.NewTable(&routing.Config{}), configured: make(chan struct{})}
-	g := New(s, headerless{}, nil, zerolog.Nop(), telemetry.NewMetrics())
-	ask := func() *httptest.ResponseRecorder {
+	s := &unconfiguredControl{table: routing.NewTable(&routing.Config{}), configured: make(chan struct{})}
+	g := New(s, emptyCodec{}, nil, zerolog.Nop(), telemetry.NewMetrics())
+	send := func() *httptest.ResponseRecorder {
 		w := httptest.NewRecorder()
 		g.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/nowhere/", nil))
 		return w
 	}
-	w := ask()
+	w := send()
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
-	require.Equal(t, notReadyBack.String(), w.Header().Get("Retry-After"))
+	require.Equal(t, notReadyRetryAfter.String(), w.Header().Get("Retry-After"))
 	time.AfterFunc(10*time.Millisecond, func() { close(s.configured) })
-	require.Equal(t, http.StatusNotFound, ask().Code, "judged by the configuration that came")
+	require.Equal(t, http.StatusNotFound, send().Code, "routed by the new configuration")
 }
--- a/internal/routing/revision.go
+++ b/internal/routing/revision.go
@@ -6,20 +6,21 @@
 	"fmt"
 )
 
-// Revision orders what the platform's store says. The store may come back from an older copy of itself; then it gives numbers
-// out again, and its era is a later one. So numbers compare within one era, and any revision of a later era comes after
-// all of an earlier one. The zero revision comes before all others.
+// Revision orders the writes to the platform's store. The store may be restored from an older copy of itself; it then
+// assigns the same numbers again, in a later era. So numbers compare within one era, and any revision of a later era
+// follows all of an earlier one. The zero revision precedes all others.
 type Revision struct{ Era, Number uint64 }
 
-// Compare is negative where r comes before o, zero where they are the same, and positive where r comes after o.
+// Compare returns a negative number if r precedes o, zero if they are equal, and a positive number if r follows o.
 func (r Revision) Compare(o Revision) int {
 	return cmp.Or(cmp.Compare(r.Era, o.Era), cmp.Compare(r.Number, o.Number))
 }
 
-// After tells whether r comes after o.
+// After reports whether r follows o.
 func (r Revision) After(o Revision) bool { return r.Compare(o) > 0 }
 
-// MarshalJSON writes a plain number in the first era, as hosts that know no eras do, and else era and number.
+// MarshalJSON writes a plain number in the first era, as hosts without support for eras do, and otherwise [era,
+// number].
 func (r Revision) MarshalJSON() ([]byte, error) {
 	if r.Era == 0 {
 		return json.Marshal(r.Number)
@@ -41,10 +42,10 @@
 	return nil
 }
 
-// String is the revision as logs tell it.
+// String returns the revision as era/number, for logs.
 func (r Revision) String() string { return fmt.Sprintf("%d/%d", r.Era, r.Number) }
 
-// Latest is the one of two revisions that comes after the other.
+// Latest returns the later of two revisions.
 func Latest(a, b Revision) Revision {
 	if b.After(a) {
 		return b
--- a/internal/routing/revision_test.go
+++ b/internal/routing/revision_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Numbers are given out again in a later era.
+// Numbers are assigned again in a later era.
 func TestRevisionsOfALaterEraComeAfter(t *testing.T) {
 	low, high, later := Revision{0, 7}, Revision{0, 900}, Revision{1, 3}
 	require.True(t, high.After(low))
@@ -18,8 +18,8 @@
 	require.Equal(t, later, Latest(later, high))
 }
 
-// Hosts of a version that knows no eras say plain numbers, and must be understood while hosts are replaced one after the other;
-// what they cannot know, a later era, they need not understand.
+// Hosts of an older version, without support for eras, send plain numbers and must be understood during a rolling
+// upgrade. They need not understand a later era, which they cannot know.
 func TestRevisionsBetweenVersions(t *testing.T) {
 	for text, want := range map[string]Revision{"7": {0, 7}, "[3,7]": {3, 7}} {
 		var r Revision
--- a/internal/routing/routing.go
+++ b/internal/routing/routing.go
@@ -1,6 +1,6 @@
-// Package routing holds the configuration of the platform's path in the project's own terms: routes,
-// services, workspaces and limits, and the table that finds a request's route and workspace.
-// Everything here is a value: once built, a Table is shared between goroutines and never changed.
+// Package routing holds the configuration of the platform's path in this project's terms: routes, services, workspaces
+// and limits, and the table that finds a request's route and workspace. All of these are values: once built, a Table is
+// shared between goroutines and never changed.
 package routing
 
 import (
@@ -13,17 +13,17 @@
 	"time"
 )
 
-// Kind tells what may be repeated of a route's requests.
+// Kind determines which of a route's requests may be retried.
 type Kind int
 
-// The kinds. A Streaming request is repeatable only where the route is resumable.
+// The kinds. A Streaming request may be retried only if the route is resumable.
 const (
 	Idempotent Kind = iota + 1
 	NonIdempotent
 	Streaming
 )
 
-// Share is one service that a route sends requests to, with its weight among the others.
+// Share is a service that a route sends requests to, with its weight relative to the others.
 type Share struct {
 	Service string
 	Weight  float64
@@ -36,25 +36,25 @@
 	Prefix string
 	Kind   Kind
 	Shares []Share
-	// Timeout is how long a request may stay unanswered; zero means only the caller's deadline.
+	// Timeout is how long a request may stay unanswered; zero means that only the caller's deadline applies.
 	Timeout time.Duration
-	// Target is the latency objective: to the whole answer, or to a stream's first event.
+	// Target is the latency objective: for the complete answer, or for a stream's first event.
 	Target time.Duration
-	// MaxGap is the longest pause between events of a stream that still counts as on time.
+	// MaxGap is the longest gap between events with which a stream still counts as on time.
 	MaxGap time.Duration
-	// Priority is the rank of the route's requests: 0 is the most urgent.
+	// Priority is the priority of the route's requests; 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the backend servers that one caller's attempt may be sent to.
+	// MaxAttempts bounds the number of backend servers that one attempt of a caller may be sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another backend server after their last event.
+	// Resumable streams may be continued at another backend server after their last event.
 	Resumable bool
-	// Regions are the only ones whose backend servers may serve the route; empty for any.
+	// Regions are the only regions whose backend servers may serve the route; empty for any.
 	Regions []string
 }
 
-// Repeatable tells whether a second run of a request is allowed.
+// Repeatable reports whether a request may be run a second time.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
@@ -62,14 +62,14 @@
 // Service is a pool of interchangeable backend servers.
 type Service struct {
 	Name string
-	// Model tells that the backend servers are model engines, which batch and stream.
+	// Model is set if the backend servers are model engines, which batch and stream.
 	Model bool
-	// MaxConns bounds a backend server's connections from all callers together; zero where unknown.
+	// MaxConns bounds a backend server's connections from all callers together; zero if unknown.
 	MaxConns int
-	// TokensPerEvent is how many tokens an event of a stream holds; zero where unknown.
+	// TokensPerEvent is the number of tokens in a stream event; zero if unknown.
 	TokensPerEvent int
-	// ColdFor is how long a backend server is cold after its start, and ColdRate how many requests a second it bears meanwhile;
-	// zero where it bears as many as ever.
+	// ColdFor is how long a backend server warms up after its start, and ColdRate how many requests a second it can
+	// take meanwhile; zero if its capacity is not reduced.
 	ColdFor  time.Duration
 	ColdRate float64
 }
@@ -78,17 +78,17 @@
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority replaces the route's priority where HasPriority is set.
+	// Priority replaces the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// InTokens tells that Rate and Burst count tokens, otherwise requests.
+	// InTokens is set if Rate and Burst count tokens instead of requests.
 	InTokens bool
 	// PlainTokens is the cost of a request that states no tokens.
 	PlainTokens int
-	// Rate is the quota a second over all hosts; zero means no limit. Burst is what it may exceed
-	// that by at once.
+	// Rate is the quota per second over all hosts; zero means no limit. Burst is how much may be used at once above
+	// that.
 	Rate, Burst float64
-	// Regions are the only ones whose backend servers may serve the workspace; empty for any.
+	// Regions are the only regions whose backend servers may serve the workspace; empty for any.
 	Regions []string
 }
 
@@ -102,7 +102,7 @@
 
 // Config is one version of the configuration.
 type Config struct {
-	// Version rises with each change; a host never goes back to a lower one.
+	// Version increases with each change; a host never returns to a lower one.
 	Version    uint64
 	Routes     []Route
 	Services   []Service
@@ -110,35 +110,35 @@
 	Limits     Limits
 }
 
-// Backend is one backend server as it has registered itself.
+// Backend is a backend server as registered.
 type Backend struct {
 	ID string
-	// Start is when this start of the backend server began, in Unix milliseconds; zero where it does not
-	// tell, and then each start has an ID of its own. What is known of a backend server is known of one
-	// start of it.
+	// Start is when this process of the backend server started, in Unix milliseconds. It is zero if the server does not
+	// register it; each start then has an ID of its own. The state kept about a backend server applies to one start of
+	// it.
 	Start    uint64
 	Addr     string
 	Zone     string
 	Service  string
 	Slots    int
 	Draining bool
-	// Cold is how much longer it bears few requests only, at the time of its registration.
+	// Cold is for how much longer the backend server can take only few requests, at the time of its registration.
 	Cold time.Duration
-	// Model tells that it registered as a model engine, with the models that it serves.
+	// Model is set if it registered as a model engine, with the models that it serves.
 	Model bool
 }
 
 // Table is a configuration prepared for look-ups.
 type Table struct {
-	Config   *Config
-	hosts    map[string][]*Route
-	keys     map[string]*Workspace
-	services map[string]*Service
-	ranks    map[urgency]float64
+	Config         *Config
+	routesByHost   map[string][]*Route
+	workspaceByKey map[string]*Workspace
+	services       map[string]*Service
+	ranks          map[urgency]float64
 }
 
-// urgency orders requests: first by the workspace's priority, which takes precedence, then by the
-// route's, which decides where workspaces are alike.
+// urgency orders requests first by the workspace's priority and then, among workspaces of equal priority, by the
+// route's.
 type urgency struct{ workspace, route int }
 
 func (u urgency) compare(v urgency) int {
@@ -155,8 +155,8 @@
 // LeastUrgent is the rank of the least urgent requests of a configuration.
 const LeastUrgent = 2.0
 
-// Rank is how urgent a request is among all that the configuration knows: 0 for the most urgent,
-// LeastUrgent for the least, evenly spaced between.
+// Rank returns the urgency of a request relative to all others in the configuration, evenly spaced from 0 for the most
+// urgent to LeastUrgent.
 func (t *Table) Rank(r *Route, w *Workspace) float64 {
 	if rank, ok := t.ranks[urgencyOf(r, w)]; ok {
 		return rank
@@ -165,42 +165,42 @@
 }
 
 func rankAll(c *Config) map[urgency]float64 {
-	seen := map[urgency]float64{}
+	ranks := map[urgency]float64{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		if r.Public || len(c.Workspaces) == 0 {
-			seen[urgencyOf(r, nil)] = 0
+			ranks[urgencyOf(r, nil)] = 0
 			continue
 		}
 		for j := range c.Workspaces {
-			seen[urgencyOf(r, &c.Workspaces[j])] = 0
+			ranks[urgencyOf(r, &c.Workspaces[j])] = 0
 		}
 	}
-	order := slices.SortedFunc(maps.Keys(seen), urgency.compare)
+	order := slices.SortedFunc(maps.Keys(ranks), urgency.compare)
 	for i, u := range order {
 		if len(order) > 1 {
-			seen[u] = LeastUrgent * float64(i) / float64(len(order)-1)
+			ranks[u] = LeastUrgent * float64(i) / float64(len(order)-1)
 		}
 	}
-	return seen
+	return ranks
 }
 
 // NewTable prepares a configuration, which must not change afterwards.
 func NewTable(c *Config) *Table {
-	t := &Table{Config: c, hosts: map[string][]*Route{}, keys: map[string]*Workspace{}, services: map[string]*Service{},
+	t := &Table{Config: c, routesByHost: map[string][]*Route{}, workspaceByKey: map[string]*Workspace{}, services: map[string]*Service{},
 		ranks: rankAll(c)}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
-		t.hosts[host] = append(t.hosts[host], r)
+		t.routesByHost[host] = append(t.routesByHost[host], r)
 	}
-	for _, routes := range t.hosts {
+	for _, routes := range t.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
 		for _, k := range w.Keys {
-			t.keys[k] = w
+			t.workspaceByKey[k] = w
 		}
 	}
 	for i := range c.Services {
@@ -209,9 +209,9 @@
 	return t
 }
 
-// Match finds the route with the longest prefix of a path as it was sent; nil if there is none.
+// Match returns the route with the longest prefix of an unmodified path; nil if there is none.
 func (t *Table) Match(host, path string) *Route {
-	for _, r := range t.hosts[HostName(host)] {
+	for _, r := range t.routesByHost[HostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// HostName is the name in a Host header: without a port, in lower case.
+// HostName returns the name in a Host header: without a port, in lower case.
 func HostName(header string) string {
 	if name, _, err := net.SplitHostPort(header); err == nil {
 		header = name
@@ -227,13 +227,13 @@
 	return strings.ToLower(header)
 }
 
-// Workspace finds the holder of a key; nil if no workspace holds it.
-func (t *Table) Workspace(key string) *Workspace { return t.keys[key] }
+// Workspace returns the workspace that a key belongs to, or nil.
+func (t *Table) Workspace(key string) *Workspace { return t.workspaceByKey[key] }
 
-// HasWorkspaces tells whether routes that are not public need a key.
+// HasWorkspaces reports whether routes that are not public need a key.
 func (t *Table) HasWorkspaces() bool { return len(t.Config.Workspaces) > 0 }
 
-// Service finds a service by name; nil if it is not configured.
+// Service returns a service by name, or nil if it is not configured.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
 // BackendChange is a backend server's registration or its removal.
@@ -242,20 +242,21 @@
 	// Revision orders the changes of one backend server; it is the same on every host.
 	Revision Revision
 	Removed  bool
-	// Foreign, with Removed, tells that something else than the backend server wrote the registration:
-	// unlike a lapsed one, it is no reason to believe that the backend server is still there.
+	// Foreign, with Removed, is set if something other than the backend server overwrote its registration. Unlike a
+	// lapsed registration, that gives no reason to assume that the backend server is still running.
 	Foreign bool
 }
 
-// Changes are news of the configuration and of the backend servers.
+// Changes are updates of the configuration and of the backend servers.
 type Changes struct {
-	// Config is nil where it has not changed.
+	// Config is nil if it has not changed.
 	Config      *Config
 	Backends    []BackendChange
 	Evacuations []Evacuation `json:",omitempty"`
 }
 
-// Evacuation is an operator's request that nothing more is sent to the backend servers of an availability zone, or its end.
+// Evacuation is an operator's request to send nothing more to the backend servers of an availability zone, or the end
+// of that request.
 type Evacuation struct {
 	Zone     string
 	Revision Revision
