--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// AbortReads ends the reading of a request's body when ctx is done. After stop it sets no deadline any more; one that it has set
-// is the caller's to clear.
+// AbortReads makes reads of a request's body fail when ctx is done. After stop it sets no deadline any more; a deadline
+// that it has already set is left for the caller to clear.
 func AbortReads(ctx context.Context, rc *http.ResponseController) (stop func()) {
 	cut := make(chan struct{})
 	release := context.AfterFunc(ctx, func() {
@@ -16,7 +16,7 @@
 	})
 	return func() {
 		if !release() {
-			<-cut // or its deadline would outlast the body
+			<-cut // otherwise the deadline could be set after stop has returned
 		}
 	}
 }
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -9,47 +9,47 @@
 	"time"
 )
 
-// phase is what a connection is in use for.
-type phase int32
+// connState is the state of a connection.
+type connState int32
 
 const (
-	// idle: no byte of the next request has been read.
-	idle phase = iota
-	// reading: from the first byte of a request to the end of its head.
-	reading
-	// serving: from there until the last byte of the answer is written.
-	serving
-	// closing: what comes is dropped.
-	closing
+	// stateIdle: no byte of the next request has been read.
+	stateIdle connState = iota
+	// stateReading: from the first byte of a request to the end of its head.
+	stateReading
+	// stateServing: from there until the last byte of the answer is written.
+	stateServing
+	// stateClosing: received bytes are discarded.
+	stateClosing
 )
 
-func (p phase) inUse() bool { return p == reading || p == serving }
+func (p connState) inUse() bool { return p == stateReading || p == stateServing }
 
-// conn is one connection.
+// conn is a caller's connection.
 type conn struct {
 	net.Conn
 	owner *Connections
-	// phase changes under the owner's lock.
-	phase      atomic.Int32
+	// state is written under the owner's lock.
+	state      atomic.Int32
 	acceptedAt time.Time
 	// idleSince is zero before the first request. It is guarded by the owner's lock.
 	idleSince time.Time
-	// over: the caller has ended its side, or the connection is broken.
-	over atomic.Bool
+	// peerClosed is set once the caller has closed its side, or the connection is broken.
+	peerClosed atomic.Bool
 }
 
-func (k *conn) in() phase { return phase(k.phase.Load()) }
+func (k *conn) load() connState { return connState(k.state.Load()) }
 
-// Read implements net.Conn. It counts the connection as in use before http.Server sees the first byte, as the server's own
-// StateActive comes after the whole head only. On a connection that is closing it drops what comes.
+// Read implements net.Conn. It counts the connection as in use before http.Server sees the first byte, because the
+// server reports StateActive only after the complete head. On a closing connection it discards what it reads.
 func (k *conn) Read(p []byte) (int, error) {
 	for {
 		n, err := k.Conn.Read(p)
 		if n == 0 {
-			k.over.Store(err != nil && !errors.Is(err, os.ErrDeadlineExceeded))
+			k.peerClosed.Store(err != nil && !errors.Is(err, os.ErrDeadlineExceeded))
 			return 0, err
 		}
-		if k.in().inUse() || k.owner.begin(k) {
+		if k.load().inUse() || k.owner.startReading(k) {
 			return n, err
 		}
 		if err != nil {
@@ -58,20 +58,20 @@
 	}
 }
 
-// SetReadDeadline implements net.Conn. The server's limits do not concern a connection that is closing.
+// SetReadDeadline implements net.Conn. The server's deadlines don't apply to a closing connection.
 func (k *conn) SetReadDeadline(t time.Time) error {
 	k.owner.mu.Lock()
 	defer k.owner.mu.Unlock()
-	if k.in() == closing {
+	if k.load() == stateClosing {
 		return nil
 	}
 	return k.Conn.SetReadDeadline(t)
 }
 
-// closeWriter is a connection whose sending side can be closed alone, as *net.TCPConn and *tls.Conn.
+// closeWriter is a connection whose write side can be closed separately, such as *net.TCPConn and *tls.Conn.
 type closeWriter interface{ CloseWrite() error }
 
-// CloseWrite lets http.Server close the sending side first.
+// CloseWrite lets http.Server close the write side first.
 func (k *conn) CloseWrite() error {
 	if w, ok := k.Conn.(closeWriter); ok {
 		return w.CloseWrite()
@@ -79,20 +79,21 @@
 	return nil
 }
 
-// Close implements net.Conn. It drops what the caller still sends until the caller has seen the end (RFC 9112, 9.6): with
-// bytes unread the connection would be reset, and the last answer lost.
+// Close implements net.Conn. It discards what the caller still sends until the caller has seen the close (RFC 9112,
+// 9.6): closing a connection with unread bytes would reset it, and the last answer would be lost.
 func (k *conn) Close() error {
-	if linger, notice := k.owner.finish(k); linger {
-		k.endSending(notice)
+	if linger, notice := k.owner.startClosing(k); linger {
+		k.closeWriteSide(notice)
 		_, _ = io.Copy(io.Discard, k.Conn)
 	}
 	return k.Conn.Close()
 }
 
-// endSending closes the sending side, and bounds what is still read to lingerFor. Errors are those of a connection that has
-// ended already.
-func (k *conn) endSending(notice bool) {
-	// Both ways: a TLS handshake that is not over yet reads before the notice can be written.
+// closeWriteSide closes the write side and bounds further reading to the linger timeout. Errors are ignored: they come
+// from connections that have already ended.
+func (k *conn) closeWriteSide(notice bool) {
+	// The deadline covers writes too, because a TLS handshake still in progress has to read before the notice can be
+	// written.
 	_ = k.Conn.SetDeadline(time.Now().Add(k.owner.linger))
 	if notice {
 		_, _ = k.Write(k.owner.notice)
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -1,4 +1,5 @@
-// Package ingress tracks callers' connections, so that a host ends none of them with an unanswered request on it.
+// Package ingress tracks callers' connections, so that a stopping host closes none of them with an unanswered request
+// on it.
 package ingress
 
 import (
@@ -11,72 +12,76 @@
 )
 
 const (
-	// idleSlack is how much longer than the configured limit an idle connection is kept. Callers use
-	// connections up to four fifths of the limit, so that few are closed as a request comes.
+	// idleSlack is the factor by which an idle connection is kept beyond the configured limit. Callers use connections
+	// up to four fifths of the limit, so that few are closed while a request arrives.
 	idleSlack = 1.25
-	// lingerFor bounds the wait for a caller to see that its connection ends. Closed before that, with bytes unread,
-	// the connection would be reset and the last answer lost.
-	lingerFor = 500 * time.Millisecond
-	// firstWithin is how soon after its connection a caller's first request is here as a rule, on a slow link too. A host that
-	// ends sooner refuses what it could have answered.
-	firstWithin = 250 * time.Millisecond
-	// awaitFor bounds how long a host waits for such requests in all, where new connections go on coming.
-	awaitFor   = 4 * firstWithin
-	lingerPoll = 5 * time.Millisecond
-	// acceptFor is for connections that the kernel has made and nobody has accepted yet: closing the listener resets them.
-	acceptFor = 50 * time.Millisecond
+	// lingerTimeout bounds the wait for a caller to see that its connection is closed. If it is closed earlier with
+	// unread bytes, the connection is reset and the last answer lost.
+	lingerTimeout = 500 * time.Millisecond
+	// firstRequestTimeout is how soon after its connection a caller's first request usually arrives, also on a slow
+	// link. A host that ends sooner rejects requests that it could have answered.
+	firstRequestTimeout = 250 * time.Millisecond
+	// maxAwait bounds the total wait for such requests, if new connections keep arriving.
+	maxAwait          = 4 * firstRequestTimeout
+	drainPollInterval = 5 * time.Millisecond
+	// acceptGrace lets connections be accepted that the kernel has already established: closing the listener resets
+	// them.
+	acceptGrace = 50 * time.Millisecond
 )
 
-// closingNotice tells the caller of a request that arrives while its connection is closing that the request was not
-// read and never will be (RFC 9110, 15.5.9). A caller that has sent none sees that the connection ends. The empty line
-// that ends the head is still to come.
+// closingNotice informs the caller of a request that arrives on a closing connection that the request was not read and
+// never will be (RFC 9110, 15.5.9). A caller that has sent no request sees that the connection ends. The empty line
+// that ends the head is appended in New.
 const closingNotice = "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n"
 
 // Connections are the callers' connections of one host. Idle ones are closed after a limit that may change while
 // http.Server runs; those in use keep a stopping host from ending.
 //
-// Phases and refusing change under one lock: a byte of a request is counted before End looks, or its request is refused.
+// Connection states and rejecting change under one lock, so that a request either has a byte counted before TryStop
+// checks, or is rejected.
 type Connections struct {
 	notice []byte
-	// linger is lingerFor, longer in tests.
+	// linger is lingerTimeout, or longer in tests.
 	linger    time.Duration
 	mu        sync.Mutex
 	open      map[*conn]struct{}
 	listeners []net.Listener
-	// inUse is how many of them read or serve a request.
+	// inUse is the number of connections that read or serve a request.
 	inUse int
-	// refusing: no request is taken any more.
-	refusing bool
-	// closing: connections that serve no request are ended.
+	// rejecting: requests are no longer accepted.
+	rejecting bool
+	// closing: connections that serve no request are closed.
 	closing bool
-	// abrupt: connections end without a wait for their callers.
-	abrupt bool
-	// awaitUntil is when awaitFor is over; it begins as nothing but new connections keeps the host from ending.
+	// noLinger: connections are closed without waiting for their callers.
+	noLinger bool
+	// awaitUntil ends the wait of at most maxAwait; it is set when new connections are the only reason for the host not
+	// to end.
 	awaitUntil time.Time
-	// notified is how many got the closing notice.
+	// notified is the number of connections that got the closing notice.
 	notified int
 }
 
-// New returns an empty set. The closing notice carries the header lines, each "Name: value".
+// New returns an empty set. headerLines, each "Name: value", are added to the closing notice.
 func New(headerLines ...string) *Connections {
 	notice := closingNotice
 	for _, line := range headerLines {
 		notice += line + "\r\n"
 	}
-	return &Connections{notice: []byte(notice + "\r\n"), linger: lingerFor, open: map[*conn]struct{}{}}
+	return &Connections{notice: []byte(notice + "\r\n"), linger: lingerTimeout, open: map[*conn]struct{}{}}
 }
 
-// Guard sets a server up to serve connections of Listener. Requests that come after End go to turnAway.
-func (c *Connections) Guard(s *http.Server, turnAway http.Handler) {
-	s.Handler = c.gate(s.Handler, turnAway)
-	s.ConnState = c.connState
+// Guard configures a server to serve connections of Listener. Once TryStop has succeeded, requests go to reject.
+func (c *Connections) Guard(s *http.Server, reject http.Handler) {
+	s.Handler = c.admission(s.Handler, reject)
+	s.ConnState = c.onStateChange
 	s.ConnContext = func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) }
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Listener tracks the connections of l. It is what http.Server serves, above TLS if there is any.
+// Listener tracks the connections of l. http.Server must serve the returned listener, which goes above TLS if there is
+// any.
 func (c *Connections) Listener(l net.Listener) net.Listener {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,20 +96,20 @@
 
 // Accept implements net.Listener.
 func (l listener) Accept() (net.Conn, error) {
-	inner, err := l.Listener.Accept()
+	nc, err := l.Listener.Accept()
 	if errors.Is(err, net.ErrClosed) {
 		return nil, http.ErrServerClosed
 	}
 	if err != nil {
 		return nil, err
 	}
-	return l.owner.add(inner), nil
+	return l.owner.add(nc), nil
 }
 
-func (c *Connections) add(inner net.Conn) *conn {
+func (c *Connections) add(nc net.Conn) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := &conn{Conn: inner, owner: c, acceptedAt: time.Now()}
+	k := &conn{Conn: nc, owner: c, acceptedAt: time.Now()}
 	c.open[k] = struct{}{}
 	if c.closing {
 		c.notify(k)
@@ -112,8 +117,8 @@
 	return k
 }
 
-// connState is http.Server's hook.
-func (c *Connections) connState(nc net.Conn, s http.ConnState) {
+// onStateChange is http.Server's ConnState hook.
+func (c *Connections) onStateChange(nc net.Conn, s http.ConnState) {
 	k, ok := nc.(*conn)
 	if !ok {
 		return
@@ -122,145 +127,148 @@
 	defer c.mu.Unlock()
 	switch s {
 	case http.StateActive:
-		c.enter(k, serving)
+		c.setState(k, stateServing)
 	case http.StateIdle:
-		c.enter(k, idle)
+		c.setState(k, stateIdle)
 		k.idleSince = time.Now()
 		if c.closing {
 			c.notify(k)
 		}
 	case http.StateClosed, http.StateHijacked:
-		c.enter(k, closing)
+		c.setState(k, stateClosing)
 		delete(c.open, k)
 	}
 }
 
-// enter moves a connection to a phase; one that is closing stays so. The lock is held.
-func (c *Connections) enter(k *conn, p phase) {
-	was := k.in()
-	if was == closing {
+// setState changes a connection's state; stateClosing is final. The caller holds the lock.
+func (c *Connections) setState(k *conn, p connState) {
+	previous := k.load()
+	if previous == stateClosing {
 		return
 	}
-	if was.inUse() {
+	if previous.inUse() {
 		c.inUse--
 	}
 	if p.inUse() {
 		c.inUse++
 	}
-	k.phase.Store(int32(p))
+	k.state.Store(int32(p))
 }
 
-// begin notes bytes of a request on a connection. It reports false where the connection is closing and they are to be
-// dropped.
-func (c *Connections) begin(k *conn) bool {
+// startReading records bytes of a request on a connection. It reports false if the connection is closing and the bytes
+// are to be discarded.
+func (c *Connections) startReading(k *conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch k.in() {
-	case closing:
+	switch k.load() {
+	case stateClosing:
 		return false
-	case idle:
-		c.enter(k, reading)
+	case stateIdle:
+		c.setState(k, stateReading)
 	}
 	return true
 }
 
-// notify ends a connection that serves no request, with the notice; the server's pending Read drops what still comes. The
-// lock is held.
+// notify closes a connection that serves no request, with the notice; the server's pending Read discards what still
+// arrives. The caller holds the lock.
 func (c *Connections) notify(k *conn) {
-	if k.in() == closing {
+	if k.load() == stateClosing {
 		return
 	}
-	c.enter(k, closing)
+	c.setState(k, stateClosing)
 	c.notified++
-	go k.endSending(true)
+	go k.closeWriteSide(true)
 }
 
-// finish makes a connection closing. It reports whether to wait for the caller to see that, as nobody has done so yet, and
-// whether to give it the notice first, as no byte of a next request was read.
-func (c *Connections) finish(k *conn) (linger, notice bool) {
+// startClosing moves a connection to stateClosing. It reports whether to wait for the caller to see the close, which is
+// not needed if that has started already, and whether to send the notice first, because no byte of a next request was
+// read.
+func (c *Connections) startClosing(k *conn) (linger, notice bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := k.in()
-	c.enter(k, closing)
-	linger = was != closing && !c.abrupt && !k.over.Load()
-	notice = linger && was == idle
+	previous := k.load()
+	c.setState(k, stateClosing)
+	linger = previous != stateClosing && !c.noLinger && !k.peerClosed.Load()
+	notice = linger && previous == stateIdle
 	if notice {
 		c.notified++
 	}
 	return linger, notice
 }
 
-// InUse is how many connections read or serve a request.
+// InUse returns the number of connections that read or serve a request.
 func (c *Connections) InUse() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.inUse
 }
 
-// Notified is how many connections have got the closing notice.
+// Notified returns the number of connections that got the closing notice.
 func (c *Connections) Notified() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.notified
 }
 
-// TryStop makes the host take no request any more, unless one is in hand or is likely to come on a new connection.
-func (c *Connections) TryStop() bool { return c.end(time.Now()) }
+// TryStop makes the host reject all further requests and reports true, unless a request is in progress or likely to
+// arrive on a new connection.
+func (c *Connections) TryStop() bool { return c.tryStop(time.Now()) }
 
-func (c *Connections) end(now time.Time) bool {
+func (c *Connections) tryStop(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refusing = c.inUse == 0 && !c.awaited(now)
-	return c.refusing
+	c.rejecting = c.inUse == 0 && !c.expectsRequest(now)
+	return c.rejecting
 }
 
-// awaited tells whether a new connection is about to bring its first request. The lock is held.
-func (c *Connections) awaited(now time.Time) bool {
+// expectsRequest reports whether a new connection is likely to bring its first request. The caller holds the lock.
+func (c *Connections) expectsRequest(now time.Time) bool {
 	if c.awaitUntil.IsZero() {
-		c.awaitUntil = now.Add(awaitFor)
+		c.awaitUntil = now.Add(maxAwait)
 	}
 	if now.After(c.awaitUntil) {
 		return false
 	}
 	for k := range c.open {
-		if k.in() == idle && k.idleSince.IsZero() && now.Sub(k.acceptedAt) < firstWithin {
+		if k.load() == stateIdle && k.idleSince.IsZero() && now.Sub(k.acceptedAt) < firstRequestTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// gate turns requests away that come after End, or whose connection is closing: nobody waits for their answer.
-func (c *Connections) gate(next, turnAway http.Handler) http.Handler {
+// admission rejects requests that arrive after TryStop has succeeded, or whose connection is closing, so that no one
+// waits for their answer.
+func (c *Connections) admission(next, reject http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		k, _ := r.Context().Value(connKey{}).(*conn)
 		c.mu.Lock()
-		away := c.refusing || (k != nil && k.in() == closing)
+		rejected := c.rejecting || (k != nil && k.load() == stateClosing)
 		c.mu.Unlock()
-		if away {
-			turnAway.ServeHTTP(w, r)
+		if rejected {
+			reject.ServeHTTP(w, r)
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Close ends the connections: at once those that serve no request, the others after their answer. After acceptFor it closes
-// the listeners. It returns when all connections have ended, or with ctx, and then tells how many still serve; http.Server's
-// Close, which has to follow, cuts these.
+// Close closes the connections: those that serve no request at once, the others after their answer. After acceptGrace
+// it closes the listeners. It returns when all connections are closed or ctx is done, with the number that still serve
+// a request; the http.Server.Close that must follow cuts these off.
 func (c *Connections) Close(ctx context.Context) (serving int) {
-	c.endUnserved()
-	accepted := time.NewTimer(acceptFor)
+	c.closeUnserved()
+	accepted := time.NewTimer(acceptGrace)
 	defer accepted.Stop()
 	select {
 	case <-accepted.C:
 	case <-ctx.Done():
 	}
 	c.closeListeners()
-	c.await(ctx)
+	c.waitClosed(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.abrupt = true
+	c.noLinger = true
 	return c.inUse
 }
 
@@ -272,11 +280,11 @@
 	}
 }
 
-// await returns when no connection is open, or with ctx.
-func (c *Connections) await(ctx context.Context) {
-	poll := time.NewTicker(lingerPoll)
+// waitClosed returns when no connection is open, or ctx is done.
+func (c *Connections) waitClosed(ctx context.Context) {
+	poll := time.NewTicker(drainPollInterval)
 	defer poll.Stop()
-	for c.left() > 0 && ctx.Err() == nil {
+	for c.openCount() > 0 && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-poll.C:
@@ -284,24 +292,24 @@
 	}
 }
 
-func (c *Connections) endUnserved() {
+func (c *Connections) closeUnserved() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refusing, c.closing = true, true
+	c.rejecting, c.closing = true, true
 	for k := range c.open {
-		if k.in() != serving {
+		if k.load() != stateServing {
 			c.notify(k)
 		}
 	}
 }
 
-func (c *Connections) left() int {
+func (c *Connections) openCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.open)
 }
 
-// Expire ends the connections that have been idle for longer than the limit; zero is no limit.
+// Expire closes the connections that have been idle for longer than the limit; zero means no limit.
 func (c *Connections) Expire(now time.Time, limit time.Duration) {
 	if limit <= 0 {
 		return
@@ -309,7 +317,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k := range c.open {
-		if k.in() == idle && !k.idleSince.IsZero() && now.Sub(k.idleSince) > time.Duration(idleSlack*float64(limit)) {
+		if k.load() == stateIdle && !k.idleSince.IsZero() && now.Sub(k.idleSince) > time.Duration(idleSlack*float64(limit)) {
 			c.notify(k)
 		}
 	}
--- a/internal/ingress/tls_test.go
+++ b/internal/ingress/tls_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against a connection whose TLS handshake never ends and that keeps its host, which waits to write the notice; and
-// against one that is ended without it.
+// Guards against a connection whose TLS handshake never completes and that keeps its host waiting to write the notice,
+// and against one that is closed without the notice.
 func TestNoticeOverTLS(t *testing.T) {
 	certified := httptest.NewTLSServer(nil)
 	defer certified.Close()
@@ -32,14 +32,14 @@
 	conn, err := tls.Dial("tcp", l.Addr().String(), &tls.Config{InsecureSkipVerify: true})
 	require.NoError(t, err)
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(patience))
-	kept := &caller{conn, bufio.NewReader(conn)}
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
+	kept := &testCaller{conn, bufio.NewReader(conn)}
 	require.NoError(t, kept.send())
 	require.Equal(t, http.StatusOK, kept.status(t))
-	require.Eventually(t, func() bool { return c.left() == 2 && c.InUse() == 0 }, patience, time.Millisecond)
-	require.True(t, c.end(time.Now().Add(firstWithin)))
-	require.Zero(t, c.Close(within(t, patience)))
-	require.Zero(t, c.left())
+	require.Eventually(t, func() bool { return c.openCount() == 2 && c.InUse() == 0 }, testTimeout, time.Millisecond)
+	require.True(t, c.tryStop(time.Now().Add(firstRequestTimeout)))
+	require.Zero(t, c.Close(timeoutContext(t, testTimeout)))
+	require.Zero(t, c.openCount())
 	resp, err := http.ReadResponse(kept.r, nil)
 	require.NoError(t, err)
 	require.Equal(t, http.StatusRequestTimeout, resp.StatusCode)
--- a/internal/upstream/call_test.go
+++ b/internal/upstream/call_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host decides to send, looks at the clock, and is paused for seconds before it writes, or waits for a connection
-// meanwhile. The server was told to leave in between and got a request all the same. The permission is asked for as
-// the first byte is about to be written; where it has ended, nothing is, and the connection is kept.
+// A host decides to send, reads the clock, and is paused for seconds before it writes, or waits for a connection. The
+// server was told to leave meanwhile and still got the request. Permitted is asked right before the first byte is
+// written; if it reports false, nothing is written and the connection is kept.
 func TestEndedPermissionWritesNothing(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
@@ -43,8 +43,8 @@
 	require.Equal(t, 1, dialed)
 }
 
-// A host asks whether a server whose answer broke is still there. One that lives keeps the connection for the next call; where
-// nothing listens any more, the server has ended.
+// A host checks whether a server whose answer broke off is still there. If it is, the connection is kept for the next
+// call; if nothing listens any more, the server has ended.
 func TestCheckTellsWhetherAServerIsThere(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	dialed := 0
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,5 +1,5 @@
-// Package upstream calls backend servers over kept HTTP/1.1 connections. A call is written at most
-// once: nothing here repeats by itself, and every error tells whether a byte has left the host.
+// Package upstream calls backend servers over kept-alive HTTP/1.1 connections. A request is written at most once:
+// nothing here retries, and every error comes with whether a byte may have left the host.
 package upstream
 
 import (
@@ -19,19 +19,19 @@
 )
 
 const (
-	// dialTimeout is many times a round trip between zones; a server behind a cut does not answer.
+	// dialTimeout is many times a round trip between zones; a server behind a network partition does not answer.
 	dialTimeout = 200 * time.Millisecond
-	// userTimeout ends a connection whose sent bytes nobody acknowledges: four retransmissions.
+	// userTimeout closes a connection whose sent bytes are not acknowledged: four retransmissions.
 	userTimeout = time.Second
-	// probeIdle, probeEvery and probeCount are TCP keep-alive: a connection that has fallen silent
-	// without a reset is found within about three seconds.
-	probeIdle  = time.Second
-	probeEvery = time.Second
-	probeCount = 2
-	readBuffer = 8 << 10
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure TCP keep-alive: a peer that vanished without a
+	// reset is detected within about three seconds.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
+	readBuffer        = 8 << 10
 )
 
-// Dialer returns a dialer whose connections notice silence.
+// Dialer returns a dialer whose connections detect unreachable peers.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
@@ -40,12 +40,12 @@
 	}
 }
 
-// KeepAlive is the probing of idle connections.
+// KeepAlive returns the TCP keep-alive configuration.
 func KeepAlive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount}
+	return net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 }
 
-// SetUserTimeout makes the kernel end a connection whose bytes are not acknowledged.
+// SetUserTimeout makes the kernel close a connection whose bytes are not acknowledged within userTimeout.
 func SetUserTimeout(_, _ string, c syscall.RawConn) error {
 	var err error
 	if e := c.Control(func(fd uintptr) {
@@ -60,26 +60,26 @@
 type conn struct {
 	net.Conn
 	r *bufio.Reader
-	// until is when the server may close it for being idle.
-	until time.Time
-	// deadline ends the exchange under way; stall, if not zero, is how long the server may be silent
-	// until stalled is asked whether to give it up.
-	deadline time.Time
-	stall    time.Duration
-	stalled  func() bool
+	// idleUntil is when the server may close the connection for being idle.
+	idleUntil time.Time
+	// deadline ends the current exchange; stallTimeout, if not zero, is how long the server may send nothing until
+	// onStall is asked whether to abandon it.
+	deadline     time.Time
+	stallTimeout time.Duration
+	onStall      func() bool
 }
 
-// ErrStalled tells that the server was silent for so long that the call was given up.
-var ErrStalled = errors.New("the server fell silent")
+// ErrStalled is returned if a call is abandoned because the server sent nothing for the stall timeout.
+var ErrStalled = errors.New("the server sent nothing within the stall timeout")
 
-// Read implements io.Reader. The look for silence is here, below all buffers, so that reading can
-// go on where the call is not given up.
+// Read implements io.Reader. The stall timeout is applied here, below all buffers, so that reading can continue if the
+// call is not abandoned.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.stall <= 0 {
+	if c.stallTimeout <= 0 {
 		return c.Conn.Read(p)
 	}
 	for {
-		until := time.Now().Add(c.stall)
+		until := time.Now().Add(c.stallTimeout)
 		last := !until.Before(c.deadline)
 		if last {
 			until = c.deadline
@@ -91,7 +91,7 @@
 		if n > 0 || last || !errors.Is(err, os.ErrDeadlineExceeded) {
 			return n, err
 		}
-		if c.stalled() {
+		if c.onStall() {
 			return 0, ErrStalled
 		}
 	}
@@ -107,11 +107,11 @@
 	return out, nil
 }
 
-// clean tells whether an idle connection is open and has nothing to read. Bytes that came after a
-// complete answer belong to no request, and an end that has arrived would take the next request
-// along; a look before each use costs one system call.
-func (c *conn) clean() bool {
-	if c.r.Buffered() > 0 || time.Now().After(c.until) {
+// reusable reports whether an idle connection is open and has nothing to read. Bytes that follow a complete answer
+// belong to no request, and a server's close that has already arrived would lose the next request. Checking before each
+// use costs one system call.
+func (c *conn) reusable() bool {
+	if c.r.Buffered() > 0 || time.Now().After(c.idleUntil) {
 		return false
 	}
 	sc, ok := c.Conn.(syscall.Conn)
@@ -133,15 +133,15 @@
 }
 
 const (
-	// idleDefault is how long a connection is kept where the server names no time.
-	idleDefault = 4 * time.Second
-	// idleMargin is kept from the time that a server names, which is in whole seconds: a request
-	// that crosses the server's close cannot be told from one that has run.
-	idleMargin = 0.6
+	// defaultIdleTimeout is how long a connection is kept if the server states no timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// idleFraction is the fraction of the server's stated timeout, which is in whole seconds, for which a connection is
+	// kept: a request that crosses with the server's close cannot be told from one that has run.
+	idleFraction = 0.6
 )
 
-// keepFor reads how long the server keeps an idle connection; zero if it closes it.
-func keepFor(resp *http.Response) time.Duration {
+// idleTimeout returns how long to keep a connection after resp; zero if the server closes it.
+func idleTimeout(resp *http.Response) time.Duration {
 	if resp.Close {
 		return 0
 	}
@@ -151,14 +151,14 @@
 			continue
 		}
 		if s, err := strconv.Atoi(value); err == nil {
-			return time.Duration(float64(s) * idleMargin * float64(time.Second))
+			return time.Duration(float64(s) * idleFraction * float64(time.Second))
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
 
-// Transport returns a client transport whose connections notice silence, for calls that may be
-// repeated: reads of the store.
+// Transport returns a client transport whose connections detect unreachable peers, for calls that may be retried, such
+// as reads of the store.
 func Transport() *http.Transport {
 	return &http.Transport{DialContext: Dialer(dialTimeout).DialContext, MaxIdleConnsPerHost: 2, DisableCompression: true}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -14,27 +14,27 @@
 	dialer *net.Dialer
 	mu     sync.Mutex
 	idle   map[string][]*conn
-	dialed func()
+	onDial func()
 }
 
-// NewPool returns an empty pool; dialed is called for each new connection.
+// NewPool returns an empty pool; onDial is called for each new connection.
 func NewPool(dialed func()) *Pool {
-	return &Pool{dialer: Dialer(dialTimeout), idle: map[string][]*conn{}, dialed: dialed}
+	return &Pool{dialer: Dialer(dialTimeout), idle: map[string][]*conn{}, onDial: dialed}
 }
 
-// get takes the idle connection that was used last, or dials.
+// get takes the most recently used idle connection, or dials.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	for {
 		c := p.pop(addr)
 		if c == nil {
 			break
 		}
-		if c.clean() {
+		if c.reusable() {
 			return c, nil
 		}
 		_ = c.Close()
 	}
-	p.dialed()
+	p.onDial()
 	return dial(ctx, p.dialer, addr)
 }
 
@@ -50,19 +50,20 @@
 	return c
 }
 
-// giveBack keeps a connection that was not used, for no longer than it would have been kept.
-func (p *Pool) giveBack(addr string, c *conn, most int) {
-	keep := idleDefault
-	if !c.until.IsZero() {
-		keep = time.Until(c.until)
+// putUnused keeps a connection that was not used, for no longer than it would have been kept before.
+func (p *Pool) putUnused(addr string, c *conn, maxIdle int) {
+	keep := defaultIdleTimeout
+	if !c.idleUntil.IsZero() {
+		keep = time.Until(c.idleUntil)
 	}
-	p.put(addr, c, keep, most)
+	p.put(addr, c, keep, maxIdle)
 }
 
-// IsRefused tells that a connection was refused: nothing listens at the address.
+// IsRefused reports whether err is a refused connection: nothing listens at the address.
 func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// ProbeRefused tells whether nothing listens at an address any more, by a connection that is closed at once.
+// ProbeRefused reports whether a connection to addr is refused, which means that nothing listens there any more. A
+// connection that succeeds is closed at once.
 func ProbeRefused(ctx context.Context, addr string) bool {
 	c, err := dial(ctx, Dialer(dialTimeout), addr)
 	if err != nil {
@@ -72,36 +73,36 @@
 	return false
 }
 
-// Probe tells whether an address can be reached, or refuses the connection; neither where there is no answer. A connection that
-// is made is kept for the next call, unless most are kept already.
-func (p *Pool) Probe(ctx context.Context, addr string, most int) (reached, refused bool) {
-	p.dialed()
+// Probe reports whether addr accepts or refuses a connection; neither if there is no answer. A successful connection is
+// kept for the next call, unless maxIdle are kept already.
+func (p *Pool) Probe(ctx context.Context, addr string, maxIdle int) (reached, refused bool) {
+	p.onDial()
 	c, err := dial(ctx, p.dialer, addr)
 	if err != nil {
 		return false, IsRefused(err)
 	}
-	p.giveBack(addr, c, most)
+	p.putUnused(addr, c, maxIdle)
 	return true, false
 }
 
-// put keeps a connection for a time, unless most are kept already.
-func (p *Pool) put(addr string, c *conn, keep time.Duration, most int) {
+// put keeps a connection for the given time, unless maxIdle are kept already.
+func (p *Pool) put(addr string, c *conn, keep time.Duration, maxIdle int) {
 	if keep <= 0 || c.SetDeadline(time.Time{}) != nil {
 		_ = c.Close()
 		return
 	}
-	c.until = time.Now().Add(keep)
-	c.stall, c.stalled = 0, nil
+	c.idleUntil = time.Now().Add(keep)
+	c.stallTimeout, c.onStall = 0, nil
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[addr]) >= most {
+	if len(p.idle[addr]) >= maxIdle {
 		_ = c.Close()
 		return
 	}
 	p.idle[addr] = append(p.idle[addr], c)
 }
 
-// CloseIdle closes the idle connections to an address that is not used any more.
+// CloseIdle closes the idle connections to an address that is no longer used.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	list := p.idle[addr]
@@ -112,14 +113,14 @@
 	}
 }
 
-// Expire closes connections that have been idle for as long as they may.
+// Expire closes connections that have been idle for their full time.
 func (p *Pool) Expire(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.After(c.until) {
+			if now.After(c.idleUntil) {
 				_ = c.Close()
 				continue
 			}
