--- a/internal/edge/answer.go
+++ b/internal/edge/answer.go
@@ -10,12 +10,12 @@
 	"fireflyshift/internal/fault"
 )
 
-// FaultBody is the JSON of a refusal.
+// FaultBody is the JSON body of an error.
 type FaultBody struct {
 	Error FaultDetail `json:"error"`
 }
 
-// FaultDetail is what a caller's program reads.
+// FaultDetail is the part of an error body that a caller's program reads.
 type FaultDetail struct {
 	Kind         fault.Kind `json:"kind"`
 	Message      string     `json:"message"`
@@ -28,7 +28,7 @@
 	return FaultBody{FaultDetail{f.Kind, f.Error(), f.Ran, f.RetryAfter.Milliseconds(), f.Ticket}}
 }
 
-// writeFault answers with a refusal. Retry-After is in whole seconds, so it is rounded up.
+// writeFault writes an error as the answer. Retry-After is in whole seconds and rounded up.
 func writeFault(w http.ResponseWriter, f *fault.Error) {
 	h := w.Header()
 	h.Set(headerWork, string(f.Ran))
@@ -52,7 +52,7 @@
 	_, _ = w.Write(data)
 }
 
-// writeStreamFault ends a stream that has begun: an error event, and never [DONE].
+// writeStreamFault ends a stream that has begun with an error event, and never with [DONE].
 func writeStreamFault(w http.ResponseWriter, f *fault.Error) {
 	data, err := json.Marshal(faultBody(f))
 	if err != nil {
--- a/internal/edge/body.go
+++ b/internal/edge/body.go
@@ -14,11 +14,11 @@
 	"fireflyshift/internal/ingress"
 )
 
-// defaultOutputTokens is assumed where a caller sets no bound.
+// defaultOutputTokens is assumed if a caller sets no max_tokens.
 const defaultOutputTokens = 256
 
-// readBody reads the whole body within size and time limits, so that a slow caller holds nothing
-// but its own connection: no slot is asked for before the body is here.
+// readBody reads the whole body within size and time limits. It is done before a slot is requested, so that a slow
+// caller holds nothing but its own connection.
 func (s *Server) readBody(w http.ResponseWriter, c *call) ([]byte, *fault.Error) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(s.opt.BodyTimeout))
@@ -41,7 +41,7 @@
 	return data, nil
 }
 
-// chatBody is the part of a chat-completions body that the system reads.
+// chatBody holds the fields of a chat-completions body that are read here.
 type chatBody struct {
 	Model     string        `json:"model"`
 	Messages  []chatMessage `json:"messages"`
@@ -68,7 +68,7 @@
 	return b, nil
 }
 
-// prompt is the text whose prefixes engines cache.
+// prompt returns the text whose prefixes engines cache.
 func (b chatBody) prompt() string {
 	var out strings.Builder
 	for _, m := range b.Messages {
@@ -80,7 +80,7 @@
 	return out.String()
 }
 
-// text is the content as a string, or as JSON where it has parts.
+// text returns the content as a string, or as raw JSON if it has parts.
 func (m chatMessage) text() string {
 	var s string
 	if json.Unmarshal(m.Content, &s) == nil {
@@ -91,8 +91,8 @@
 
 func tokens(text string) uint32 { return uint32(len(text)/engine.BytesPerToken + 1) }
 
-// engineBody is the caller's body with streaming on: an answer has to be watched as it comes, to
-// be resumed when it is cut.
+// engineBody returns the caller's body with streaming enabled: the answer has to be followed as it arrives, so that it
+// can be resumed after a break.
 func engineBody(data []byte) ([]byte, *fault.Error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(data, &fields); err != nil {
@@ -101,7 +101,7 @@
 	fields["stream"] = json.RawMessage("true")
 	out, err := json.Marshal(fields)
 	if err != nil {
-		return nil, fault.New(fault.BadBody, "the JSON cannot be passed on: %v", err)
+		return nil, fault.New(fault.BadBody, "the JSON cannot be encoded for the engine: %v", err)
 	}
 	return out, nil
 }
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -15,16 +15,18 @@
 )
 
 const (
-	// reattachTries bounds the attempts to take up a cut stream; the pauses double.
-	reattachTries = 5
-	reattachFirst = 20 * time.Millisecond
-	suspendWait   = 3 * time.Second
-	// lastCancel bounds the wait for an engine to take a cancel as the host ends: a caller waits for it too.
-	lastCancel = 250 * time.Millisecond
+	// maxReattachAttempts bounds the attempts to continue a stream that broke off. The delay starts at reattachBackoff
+	// and triples with each attempt.
+	maxReattachAttempts = 5
+	reattachBackoff     = 20 * time.Millisecond
+	exportTimeout       = 3 * time.Second
+	// shutdownCancelTimeout bounds the wait for an engine to accept a cancel as the host ends, since the caller waits
+	// for it too.
+	shutdownCancelTimeout = 250 * time.Millisecond
 )
 
-// chat serves POST /v1/chat/completions.
-func (s *Server) chat(w http.ResponseWriter, c *call) *fault.Error {
+// serveChat serves POST /v1/chat/completions.
+func (s *Server) serveChat(w http.ResponseWriter, c *call) *fault.Error {
 	data, f := s.readBody(w, c)
 	if f != nil {
 		return f
@@ -47,27 +49,27 @@
 	sub.Digest = digest(c, data)
 	prompt := b.prompt()
 	sub.PromptTokens, sub.OutputTokens, sub.Prefix = tokens(prompt), b.MaxTokens, engine.ShortHashes(engine.PrefixHashes(prompt))
-	s.fly(c, sub, &modelAttempt{server: s, call: c, body: body, sink: newSink(w, c, b.Stream, s.opt.MaxAnswerBytes),
+	s.run(c, sub, &modelAttempt{server: s, call: c, body: body, sink: newSink(w, c, b.Stream, s.opt.MaxAnswerBytes),
 		exported: make(chan *engine.KV, 1)})
 	return nil
 }
 
-// modelAttempt carries a request over its dispatch to an engine, with re-attachment after cuts and
-// suspension for more urgent work.
+// modelAttempt runs the dispatches of a request to engines, with re-attachment after broken streams and suspension in
+// favour of more urgent work.
 type modelAttempt struct {
 	server   *Server
 	call     *call
 	body     []byte
 	sink     sink
 	addr     string
-	offset   int // next token that the caller lacks
+	offset   int // index of the next token that the caller lacks
 	kv       *engine.KV
 	exported chan *engine.KV
 	tokens   timing.Stream
 }
 
-// timed tells the scheduler how the dispatch went, for its estimates.
-func (m *modelAttempt) timed(e core.DispatchEnded) core.DispatchEnded {
+// withTiming adds the stream's measurements, which the scheduler uses for its estimates.
+func (m *modelAttempt) withTiming(e core.DispatchEnded) core.DispatchEnded {
 	t := &m.tokens
 	e.FirstToken, e.Interval, e.Tokens = t.FirstChunk(), t.Interval(), uint32(t.Chunks)
 	return e
@@ -76,7 +78,7 @@
 func (m *modelAttempt) run(ctx context.Context, d core.Dispatch) core.DispatchEnded {
 	m.addr = d.Backend.Addr
 	m.tokens = timing.Stream{StartedAt: time.Now()}
-	m.dropOldExport()
+	m.discardStaleExport()
 	m.sink.setBackend(d.Backend.Name)
 	st, sent, err := m.open(ctx, d)
 	if err != nil {
@@ -86,11 +88,11 @@
 	if e.Outcome == core.Canceled || e.Outcome == core.Failed {
 		m.cancel()
 	}
-	return m.timed(e)
+	return m.withTiming(e)
 }
 
-// dropOldExport forgets an export that came after its stream had ended another way.
-func (m *modelAttempt) dropOldExport() {
+// discardStaleExport discards an export that arrived after its stream had ended in another way.
+func (m *modelAttempt) discardStaleExport() {
 	select {
 	case <-m.exported:
 	default:
@@ -114,30 +116,30 @@
 		m.cancel()
 		return core.DispatchEnded{Outcome: core.Canceled}
 	}
-	// The request was written and its answer lost: the engine may have it. Asking for the stream
-	// is not a second dispatch; an engine that never got the request answers that it is unknown.
-	var again error
+	// The request was written and its answer lost, so the engine may have it. Asking for the stream is not a second
+	// dispatch: an engine that never got the request answers that the stream is unknown.
+	var reattachErr error
 	if !d.Resume {
 		var st *engine.Stream
-		if st, again = m.reattach(ctx); st != nil {
-			return m.timed(m.follow(ctx, st))
+		if st, reattachErr = m.reattach(ctx); st != nil {
+			return m.withTiming(m.follow(ctx, st))
 		}
 	}
-	return core.DispatchEnded{Outcome: core.Failed, BackendEnded: upstream.IsRefused(again), Fault: fault.New(fault.OutcomeUnknown, "backend server %s: %v", d.Backend.Name, err)}
+	return core.DispatchEnded{Outcome: core.Failed, BackendEnded: upstream.IsRefused(reattachErr), Fault: fault.New(fault.OutcomeUnknown, "backend server %s: %v", d.Backend.Name, err)}
 }
 
-// cancel ends the work at the engine.
+// cancel stops the work at the engine.
 func (m *modelAttempt) cancel() {
 	ctx := context.Background()
 	if m.server.ending.Err() != nil {
 		var done context.CancelFunc
-		ctx, done = context.WithTimeout(ctx, lastCancel)
+		ctx, done = context.WithTimeout(ctx, shutdownCancelTimeout)
 		defer done()
 	}
 	m.server.engines.Cancel(ctx, m.addr, m.call.id)
 }
 
-// notAdmitted tells that the engine itself says that it has not begun the work.
+// notAdmitted reports whether the engine itself states that it has not started the work.
 func notAdmitted(err error) bool {
 	var s *engine.StatusError
 	if !errors.As(err, &s) {
@@ -146,7 +148,7 @@
 	return s.Status == http.StatusTooManyRequests || s.Status == http.StatusServiceUnavailable
 }
 
-// follow reads the stream to its end, over cuts.
+// follow reads the stream to its end, re-attaching whenever it breaks off.
 func (m *modelAttempt) follow(ctx context.Context, st *engine.Stream) core.DispatchEnded {
 	for {
 		e, cut := m.read(ctx, st)
@@ -159,7 +161,7 @@
 			if ctx.Err() != nil {
 				return core.DispatchEnded{Outcome: core.Canceled}
 			}
-			// An engine that does not know a stream which it has just sent has started again meanwhile.
+			// An engine that does not know a stream that it has just been sending must have restarted meanwhile.
 			ended := unknownStream(err) || upstream.IsRefused(err)
 			return core.DispatchEnded{Outcome: core.Failed, BackendEnded: ended, Fault: fault.New(fault.AnswerCut, "after %d tokens", m.offset)}
 		}
@@ -167,10 +169,10 @@
 	}
 }
 
-// read passes chunks on until the answer is whole or the stream is cut.
+// read passes chunks on until the answer is complete or the stream breaks off.
 //
-// The checks of id and offset guard against crossed and torn answers: a chunk of another request,
-// or one that skips tokens, counts as a cut, and the stream is taken up at the right place.
+// The checks of ID and offset guard against mixed-up and incomplete answers: a chunk of another request, or one that
+// skips tokens, counts as a break, and the stream is continued at the right offset.
 func (m *modelAttempt) read(ctx context.Context, st *engine.Stream) (e core.DispatchEnded, cut bool) {
 	finished := false
 	for {
@@ -182,7 +184,7 @@
 			return core.DispatchEnded{Outcome: core.Canceled}, ctx.Err() == nil
 		}
 		if c.Suspended() {
-			return m.suspended(ctx), false
+			return m.awaitExport(ctx), false
 		}
 		if c.Offset < m.offset {
 			continue // a repeat after re-attachment
@@ -209,8 +211,8 @@
 	return core.DispatchEnded{Outcome: core.Done}, false
 }
 
-// suspended waits for the export whose end mark the stream has shown.
-func (m *modelAttempt) suspended(ctx context.Context) core.DispatchEnded {
+// awaitExport waits for the export whose end mark was read from the stream.
+func (m *modelAttempt) awaitExport(ctx context.Context) core.DispatchEnded {
 	select {
 	case kv := <-m.exported:
 		m.kv = kv
@@ -218,15 +220,15 @@
 		return core.DispatchEnded{Outcome: core.Suspended}
 	case <-ctx.Done():
 		return core.DispatchEnded{Outcome: core.Canceled}
-	case <-time.After(suspendWait):
+	case <-time.After(exportTimeout):
 		return core.DispatchEnded{Outcome: core.Failed, Fault: fault.New(fault.AnswerCut, "the exported stream was lost")}
 	}
 }
 
-// reattach takes up a cut stream; the error is that of the last try.
+// reattach continues a stream that broke off; the error is that of the last attempt.
 func (m *modelAttempt) reattach(ctx context.Context) (st *engine.Stream, err error) {
-	pause := reattachFirst
-	for i := 0; i < reattachTries && ctx.Err() == nil; i++ {
+	backoff := reattachBackoff
+	for i := 0; i < maxReattachAttempts && ctx.Err() == nil; i++ {
 		st, err = m.server.engines.Reattach(ctx, m.addr, m.call.id, m.offset)
 		if err == nil {
 			return st, nil
@@ -236,14 +238,14 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause *= 3
+		backoff *= 3
 	}
 	return nil, err
 }
 
-// unknownStream tells that the engine answers, and does not know the stream.
+// unknownStream reports whether the engine answered that it does not know the stream.
 func unknownStream(err error) bool {
 	var refused *engine.StatusError
 	return errors.As(err, &refused) && refused.Status == http.StatusNotFound
@@ -256,8 +258,8 @@
 		return
 	}
 	m.server.metrics.Count("edge.suspended", 1)
-	m.dropOldExport()
+	m.discardStaleExport()
 	m.exported <- kv
 }
 
-func (m *modelAttempt) conclude(f *fault.Error) { m.sink.fault(f) }
+func (m *modelAttempt) finish(f *fault.Error) { m.sink.fault(f) }
--- a/internal/edge/dispatch.go
+++ b/internal/edge/dispatch.go
@@ -13,19 +13,19 @@
 // effectBuffer is more than the reducer ever has outstanding for one request.
 const effectBuffer = 16
 
-// attempt carries out the dispatches of one request, one at a time.
+// attempt runs the dispatches of one request, one at a time.
 type attempt interface {
-	// run makes the call and writes the answer as it comes. It returns when the dispatch has ended.
+	// run makes the call and writes the answer as it arrives. It returns when the dispatch has ended.
 	run(ctx context.Context, d core.Dispatch) core.DispatchEnded
-	// suspend asks the backend server at addr to export the stream that run reads. It is called
-	// from another goroutine than run.
+	// suspend asks the backend server at addr to export the stream that run reads. It is called from another goroutine
+	// than run.
 	suspend(ctx context.Context, addr string)
-	// conclude writes the fault as far as the answer has not begun; it may abort the connection.
-	conclude(f *fault.Error)
+	// finish writes the fault if the answer has not begun; otherwise it may abort the connection.
+	finish(f *fault.Error)
 }
 
-// fly hands a request to the reducer and carries out its effects until it is finished.
-func (s *Server) fly(c *call, sub core.Submit, a attempt) {
+// run submits a request to the reducer and carries out its effects until it is finished.
+func (s *Server) run(c *call, sub core.Submit, a attempt) {
 	effects := make(chan core.Effect, effectBuffer)
 	ended := make(chan core.DispatchEnded, 1)
 	ctx, cancel := context.WithCancel(c.Context())
@@ -34,8 +34,8 @@
 	defer wait.End()
 	sub.Traceparent = s.tracing.Traceparent(ctx)
 	s.control.Submit(sub, effects)
-	running, answered, addr := false, false, ""
-	gone := c.Context().Done()
+	running, delivered, addr := false, false, ""
+	callerGone := c.Context().Done()
 	for {
 		select {
 		case e := <-effects:
@@ -44,35 +44,34 @@
 				running, addr = true, e.Backend.Addr
 				go s.dispatch(ctx, a, e, ended)
 			case core.Suspend:
-				go a.suspend(background(ctx), addr)
+				go a.suspend(detached(ctx), addr)
 			case core.Finish:
 				cancel()
 				if running {
-					answered = (<-ended).Outcome == core.Done
+					delivered = (<-ended).Outcome == core.Done
 				}
 				f := e.Fault
-				if answered {
-					f = nil // the answer was whole before the reducer heard of it
+				if delivered {
+					f = nil // the answer was complete before the reducer was notified
 				}
-				a.conclude(f)
+				a.finish(f)
 				if f != nil {
 					s.metrics.Count("edge.refused."+string(f.Kind), 1)
 				}
 				return
 			}
 		case e := <-ended:
-			running, answered = false, e.Outcome == core.Done
+			running, delivered = false, e.Outcome == core.Done
 			s.control.Post(e)
-		case <-gone:
-			gone = nil
+		case <-callerGone:
+			callerGone = nil
 			s.control.Post(core.CallerGone{ID: sub.ID})
 		}
 	}
 }
 
-// dispatch makes the call unless the permission has run out on this host's own clock. The check
-// guards against a process that was paused between the decision and this line: it would dispatch
-// on a lease that others count as ended.
+// dispatch makes the call unless its permission has expired on this host's own clock. The check guards against a
+// process that was paused between the decision and this line: it would dispatch on a lease that others count as ended.
 func (s *Server) dispatch(ctx context.Context, a attempt, d core.Dispatch, ended chan<- core.DispatchEnded) {
 	if s.control.Now() > d.ValidUntil {
 		ended <- core.DispatchEnded{ID: d.ID, Attempt: d.Attempt, Outcome: core.NotSent}
@@ -86,23 +85,23 @@
 	ended <- e
 }
 
-// permission looks at the lease as the first byte is about to be written. It logs the moments that tell a late decision,
-// a late write and a grant of too long a life apart: how long ago the grant was taken and what was left of the
-// lease when it was asked, and how long the write took from there, in which a pause shows.
+// permission checks the lease right before the first byte is written. The log line tells a late decision, a late write
+// and a grant with too long a lease apart: it has the time since the grant and what was left of the lease at the check,
+// and how long the write took after it, which shows a pause.
 func (s *Server) permission(d core.Dispatch) wire.Permission {
-	var asked time.Duration
+	var checkedAt time.Duration
 	return wire.Permission{
 		Check: func() bool {
-			asked = s.control.Now()
-			return asked <= d.ValidUntil
+			checkedAt = s.control.Now()
+			return checkedAt <= d.ValidUntil
 		},
 		OnResult: func(permitted bool) {
 			s.log.Info().Str("id", d.ID).Uint32("attempt", d.Attempt).Str("backend", d.Backend.Name).Str("scheduler", d.Scheduler).
-				Int64("granted_ago_ms", (asked-d.At).Milliseconds()).Int64("lease_left_ms", (d.ValidUntil-asked).Milliseconds()).
-				Int64("write_us", (s.control.Now()-asked).Microseconds()).Bool("written", permitted).Msg("Dispatch.")
+				Int64("granted_ago_ms", (checkedAt-d.At).Milliseconds()).Int64("lease_left_ms", (d.ValidUntil-checkedAt).Milliseconds()).
+				Int64("write_us", (s.control.Now()-checkedAt).Microseconds()).Bool("written", permitted).Msg("Dispatch.")
 		},
 	}
 }
 
-// abort ends the connection so that the caller cannot take a short answer for a whole one.
+// abort ends the connection, so that the caller cannot take a short answer for a complete one.
 func abort() { panic(http.ErrAbortHandler) }
--- a/internal/edge/dispatch_test.go
+++ b/internal/edge/dispatch_test.go
@@ -14,13 +14,13 @@
 	"fireflyshift/internal/telemetry"
 )
 
-// lateClock is a control thread whose clock a test sets.
-type lateClock struct{ now time.Duration }
+// fixedClockControl is a control thread with a fixed clock.
+type fixedClockControl struct{ now time.Duration }
 
-func (lateClock) Submit(core.Submit, chan<- core.Effect) {}
-func (lateClock) Post(core.Event)                        {}
-func (c lateClock) Now() time.Duration                   { return c.now }
-func (lateClock) Config() *confstate.Snapshot            { return confstate.New().Snapshot() }
+func (fixedClockControl) Submit(core.Submit, chan<- core.Effect) {}
+func (fixedClockControl) Post(core.Event)                        {}
+func (c fixedClockControl) Now() time.Duration                   { return c.now }
+func (fixedClockControl) Config() *confstate.Snapshot            { return confstate.New().Snapshot() }
 
 // countingAttempt counts the calls that reach a backend server.
 type countingAttempt struct{ calls int }
@@ -30,11 +30,11 @@
 	return core.DispatchEnded{Outcome: core.Done}
 }
 func (*countingAttempt) suspend(context.Context, string) {}
-func (*countingAttempt) conclude(*fault.Error)           {}
+func (*countingAttempt) finish(*fault.Error)             {}
 
-// A process is paused between the reducer's decision and the write to the backend server. When it
-// wakes, its lease is over: others may have given the slot away, or the server has left. It has to
-// notice on its own clock before it writes.
+// A process is paused between the reducer's decision and the write to the backend server. When it wakes, its lease has
+// ended: the slot may have been given away, or the server may have left. It has to notice that on its own clock before
+// it writes.
 func TestPauseBetweenDecisionAndWrite(t *testing.T) {
 	tracing, err := telemetry.NewTracing(context.Background(), telemetry.TraceOptions{Exporter: "none"})
 	require.NoError(t, err)
@@ -43,7 +43,7 @@
 		calls   int
 		outcome core.Outcome
 	}{{time.Second, 1, core.Done}, {5 * time.Second, 0, core.NotSent}} {
-		s := New(Options{}, lateClock{c.now}, tracing, telemetry.NewMetrics(), zerolog.Nop())
+		s := New(Options{}, fixedClockControl{c.now}, tracing, telemetry.NewMetrics(), zerolog.Nop())
 		a := &countingAttempt{}
 		ended := make(chan core.DispatchEnded, 1)
 		s.dispatch(context.Background(), a, core.Dispatch{ID: "r", Attempt: 3, ValidUntil: 2 * time.Second}, ended)
--- a/internal/edge/drain.go
+++ b/internal/edge/drain.go
@@ -7,16 +7,17 @@
 	"fireflyshift/internal/fault"
 )
 
-// NotRunHeader is the header line that says that a request has not run, for answers that are not this package's.
+// NotRunHeader is the header line stating that a request has not run, for answers that are written outside this
+// package.
 const NotRunHeader = headerWork + ": " + string(fault.NotRun)
 
-// Drain makes every answer from now on the last one of its connection.
+// Drain makes every answer from now on the last one on its connection.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown refuses the requests whose bodies are still read.
+// Shutdown refuses the requests whose bodies are still being read, and bounds the time to cancel work at engines.
 func (s *Server) Shutdown() { s.end() }
 
-// RejectShutdown refuses a request that comes as the host ends: it has not run.
+// RejectShutdown refuses a request that arrives as the host ends, before any of it has run.
 func (s *Server) RejectShutdown(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Connection", "close")
 	w.Header().Set(headerRequest, newID())
@@ -27,8 +28,8 @@
 	return fault.New(fault.Draining, "host %s is shutting down", s.opt.Host)
 }
 
-// closingWriter ends the connection with the answer if the host drains when the head is written, so that the
-// caller's next request goes to another host.
+// closingWriter adds "Connection: close" if the host is draining when the head is written, so that the caller's next
+// request goes to another host.
 type closingWriter struct {
 	http.ResponseWriter
 	draining *atomic.Bool
@@ -42,5 +43,5 @@
 	w.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap is used by http.ResponseController.
 func (w closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/edge/drain_test.go
+++ b/internal/edge/drain_test.go
@@ -23,7 +23,7 @@
 
 const bodyTimeout = time.Minute
 
-func newServer(t *testing.T) *Server { return newServerWith(t, lateClock{}) }
+func newServer(t *testing.T) *Server { return newServerWith(t, fixedClockControl{}) }
 
 func newServerWith(t *testing.T, c Control) *Server {
 	tracing, err := telemetry.NewTracing(t.Context(), telemetry.TraceOptions{Exporter: "none"})
@@ -31,10 +31,10 @@
 	return New(Options{Host: "a1", MaxBodyBytes: 1 << 20, MaxAnswerBytes: 1 << 20, BodyTimeout: bodyTimeout}, c, tracing, telemetry.NewMetrics(), zerolog.Nop())
 }
 
-// Guards against callers that go on using the connection to a host which shuts down.
+// Guards against callers that keep using the connection to a host that is shutting down.
 func TestAnswersOfADrainingHostEndTheirConnection(t *testing.T) {
 	s := newServer(t)
-	closes := func(h http.Handler) bool {
+	closesConnection := func(h http.Handler) bool {
 		srv := httptest.NewServer(h)
 		defer srv.Close()
 		resp, err := http.Get(srv.URL)
@@ -42,20 +42,20 @@
 		defer resp.Body.Close()
 		return resp.Close
 	}
-	passed := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	relayed := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p := &plainAttempt{server: s, call: &call{Request: r}, w: closingWriter{w, &s.draining}}
 		resp := &http.Response{StatusCode: http.StatusOK, Header: http.Header{"Connection": {"keep-alive"}}, Body: http.NoBody}
-		require.NoError(t, p.copy(core.Dispatch{}, resp))
+		require.NoError(t, p.relay(core.Dispatch{}, resp))
 	})
-	require.False(t, closes(s.Handler()))
-	require.False(t, closes(passed))
+	require.False(t, closesConnection(s.Handler()))
+	require.False(t, closesConnection(relayed))
 	s.Drain()
-	require.True(t, closes(s.Handler()), "a refusal")
-	require.True(t, closes(passed), "a backend server's answer")
+	require.True(t, closesConnection(s.Handler()), "a refusal of the host")
+	require.True(t, closesConnection(relayed), "a backend server's answer")
 }
 
-// Guards against a caller whose body is still read as the host ends, and who gets no answer or one that does not say that
-// nothing ran.
+// Guards against a caller whose body is still being read as the host ends, and who gets no answer, or one that does not
+// state that nothing ran.
 func TestBodyThatIsReadAtTheEndIsRefusedAsNotRun(t *testing.T) {
 	s := newServer(t)
 	reading := make(chan struct{})
@@ -81,12 +81,12 @@
 	require.Contains(t, string(body), fault.Draining)
 }
 
-// Guards against an engine that hangs and takes from its callers the time in which their host could still answer them.
+// Guards against an engine that hangs and uses up the time in which the host could still answer its callers.
 func TestEngineThatHangsDoesNotDelayTheLastAnswer(t *testing.T) {
 	s := newServer(t)
-	asked := make(chan struct{}, 2)
+	requested := make(chan struct{}, 2)
 	release := make(chan struct{})
-	hung := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { asked <- struct{}{}; <-release }))
+	hung := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requested <- struct{}{}; <-release }))
 	defer hung.Close()
 	defer close(release)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -96,10 +96,10 @@
 	go func() {
 		ended <- m.run(ctx, core.Dispatch{Backend: record.Backend{Addr: hung.Listener.Addr().String()}})
 	}()
-	<-asked
+	<-requested
 	s.Shutdown()
 	began := time.Now()
 	cancel()
 	require.Equal(t, core.Canceled, (<-ended).Outcome)
-	require.Less(t, time.Since(began), time.Second, "the daemon gives the last answers two")
+	require.Less(t, time.Since(began), time.Second, "the daemon allows two seconds for the last answers")
 }
--- a/internal/edge/headers.go
+++ b/internal/edge/headers.go
@@ -16,7 +16,7 @@
 	"fireflyshift/internal/ticket"
 )
 
-// The headers that callers send and read; docs/CALLERS.md describes them.
+// Headers that callers send and read; see docs/CALLERS.md.
 const (
 	headerTier       = "Fireflyshift-Tier"
 	headerCallerID   = "Fireflyshift-Caller-Id"
@@ -31,7 +31,7 @@
 
 var callerIDPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
-// headers are a caller's, parsed.
+// headers are a caller's parsed headers.
 type headers struct {
 	key           string
 	workspace     *record.Workspace
@@ -86,7 +86,7 @@
 	return d, nil
 }
 
-// hashKey is what a workspace record holds of a key.
+// hashKey returns the SHA-256 of a key in hex, as stored in workspace records.
 func hashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/internal/edge/plain.go
+++ b/internal/edge/plain.go
@@ -15,12 +15,12 @@
 	"fireflyshift/internal/wire"
 )
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders apply to one connection and are not passed on.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade"}
 
-// pass serves /services/NAME/... for plain services.
-func (s *Server) pass(w http.ResponseWriter, c *call) *fault.Error {
+// servePlain serves /services/NAME/... for plain services.
+func (s *Server) servePlain(w http.ResponseWriter, c *call) *fault.Error {
 	name := c.PathValue("service")
 	sub, f := s.submission(c, name)
 	if f != nil {
@@ -35,18 +35,18 @@
 	}
 	sub.Digest = digest(c, body)
 	sub.PromptTokens, sub.OutputTokens = 0, 1
-	s.fly(c, sub, &plainAttempt{server: s, call: c, w: w, body: body, deadline: time.Now().Add(sub.Deadline)})
+	s.run(c, sub, &plainAttempt{server: s, call: c, w: w, body: body, deadline: time.Now().Add(sub.Deadline)})
 	return nil
 }
 
-// plainAttempt carries a request over its dispatch to a plain service.
+// plainAttempt runs the dispatches of a request to a plain service.
 type plainAttempt struct {
-	server   *Server
-	call     *call
-	w        http.ResponseWriter
-	body     []byte
-	deadline time.Time
-	begun    bool
+	server      *Server
+	call        *call
+	w           http.ResponseWriter
+	body        []byte
+	deadline    time.Time
+	headWritten bool
 }
 
 func (p *plainAttempt) run(ctx context.Context, d core.Dispatch) core.DispatchEnded {
@@ -57,10 +57,10 @@
 	}
 	resp, sent, err := wire.Do(p.server.plain, req)
 	if err != nil {
-		return p.failed(ctx, d, sent, err)
+		return p.classifyFailure(ctx, d, sent, err)
 	}
 	defer resp.Body.Close()
-	if err := p.copy(d, resp); err != nil {
+	if err := p.relay(d, resp); err != nil {
 		if ctx.Err() != nil {
 			return core.DispatchEnded{Outcome: core.Canceled}
 		}
@@ -85,15 +85,15 @@
 	}
 	req.Header = p.call.Header.Clone()
 	dropHopHeaders(req.Header)
-	req.Header.Del("Authorization") // the workspace's key is for this system alone
+	req.Header.Del("Authorization") // the workspace's key is not disclosed to backend servers
 	req.Header.Set(headerBackendID, p.call.id)
-	left := max(time.Until(p.deadline), time.Millisecond)
-	req.Header.Set(headerDeadline, formatMS(left))
+	remaining := max(time.Until(p.deadline), time.Millisecond)
+	req.Header.Set(headerDeadline, formatMS(remaining))
 	p.server.tracing.Inject(ctx, carrier(req.Header))
 	return req, nil
 }
 
-func (p *plainAttempt) failed(ctx context.Context, d core.Dispatch, sent bool, err error) core.DispatchEnded {
+func (p *plainAttempt) classifyFailure(ctx context.Context, d core.Dispatch, sent bool, err error) core.DispatchEnded {
 	switch {
 	case !sent:
 		return core.DispatchEnded{Outcome: core.NotSent}
@@ -104,14 +104,14 @@
 	}
 }
 
-// answerBuffer is how much of an answer is read before the caller gets its status: one that breaks off within it becomes a
-// refusal instead of a closed connection.
+// answerBuffer is how much of an answer is read before its status is written to the caller: an answer that breaks off
+// within it becomes an error status instead of a closed connection.
 const answerBuffer = 256 << 10
 
-// copy passes the answer on. net/http reports a body that ends before its declared length as an
-// error, so a short answer is never taken for a whole one.
-func (p *plainAttempt) copy(d core.Dispatch, resp *http.Response) error {
-	begin, err := io.ReadAll(io.LimitReader(resp.Body, answerBuffer))
+// relay passes the answer on. net/http reports a body that ends before its declared length as an error, so a short
+// answer is never taken for a complete one.
+func (p *plainAttempt) relay(d core.Dispatch, resp *http.Response) error {
+	first, err := io.ReadAll(io.LimitReader(resp.Body, answerBuffer))
 	if err != nil {
 		return err
 	}
@@ -122,13 +122,13 @@
 	}
 	h.Set(headerRequest, p.call.id)
 	h.Set(headerBackend, d.Backend.Name)
-	p.begun = true
+	p.headWritten = true
 	p.w.WriteHeader(resp.StatusCode)
-	_, err = io.Copy(deadlineWriter{p.w}, io.MultiReader(bytes.NewReader(begin), resp.Body))
+	_, err = io.Copy(deadlineWriter{p.w}, io.MultiReader(bytes.NewReader(first), resp.Body))
 	return err
 }
 
-// deadlineWriter ends callers that do not read.
+// deadlineWriter ends the connections of callers that do not read.
 type deadlineWriter struct{ http.ResponseWriter }
 
 // Write allows writeTimeout for each piece.
@@ -137,14 +137,14 @@
 	return d.ResponseWriter.Write(b)
 }
 
-// suspend does nothing: a plain service cannot give up work that has begun.
+// suspend does nothing: a plain service cannot suspend work that has started.
 func (p *plainAttempt) suspend(context.Context, string) {}
 
-func (p *plainAttempt) conclude(f *fault.Error) {
+func (p *plainAttempt) finish(f *fault.Error) {
 	if f == nil {
 		return
 	}
-	if p.begun {
+	if p.headWritten {
 		abort()
 	}
 	writeFault(p.w, f)
--- a/internal/edge/server.go
+++ b/internal/edge/server.go
@@ -1,6 +1,6 @@
-// Package edge serves callers over HTTP: it checks who they are and what they ask, hands the
-// request to the reducer, carries out its effects, and writes the answer. Bytes of answers stay
-// here; the control thread never sees them.
+// Package edge serves callers over HTTP: it checks their credentials and requests, submits requests to the reducer,
+// carries out its effects, and writes the answers. Bytes of answers stay in this package; the control thread never
+// handles them.
 package edge
 
 import (
@@ -22,14 +22,14 @@
 	"fireflyshift/internal/wire"
 )
 
-// Control is the control thread as the edge sees it. Methods are safe for concurrent use.
+// Control is the edge's view of the control thread. Its methods are safe for concurrent use.
 type Control interface {
-	// Submit passes a request on; its effects come on the channel, which must not be left unread.
+	// Submit submits a request; its effects arrive on the channel, which must be read.
 	Submit(core.Submit, chan<- core.Effect)
 	Post(core.Event)
-	// Now is the host's clock, which counts suspended time too.
+	// Now is the host's clock, which includes suspended time.
 	Now() time.Duration
-	// Config is the configuration in force.
+	// Config is the current configuration.
 	Config() *confstate.Snapshot
 }
 
@@ -42,7 +42,7 @@
 	BodyTimeout    time.Duration
 }
 
-// Server is the edge of one host.
+// Server serves the callers of one host.
 type Server struct {
 	opt     Options
 	control Control
@@ -51,14 +51,14 @@
 	tracing *telemetry.Tracing
 	metrics telemetry.Metrics
 	log     zerolog.Logger
-	// draining tells that answers are the last of their connections.
+	// draining is set once every answer is the last one on its connection.
 	draining atomic.Bool
-	// ending is done when the host ends with requests in hand.
+	// ending is canceled at the end of the host's grace period, while requests may still be in progress.
 	ending context.Context
 	end    context.CancelFunc
 }
 
-// New returns an edge.
+// New returns a server; Handler serves its requests.
 func New(opt Options, c Control, tracing *telemetry.Tracing, m telemetry.Metrics, log zerolog.Logger) *Server {
 	ending, end := context.WithCancel(context.Background())
 	return &Server{opt: opt, control: c, engines: engine.NewClient(), tracing: tracing, metrics: m, log: log,
@@ -69,12 +69,12 @@
 // noRedirect passes redirects to the caller: following one would be a second dispatch.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Handler routes callers' requests.
+// Handler returns the handler for all of the callers' paths.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("POST /v1/chat/completions", s.handler(s.chat))
+	mux.Handle("POST /v1/chat/completions", s.handler(s.serveChat))
 	mux.Handle("POST /fireflyshift/v1/tickets", s.handler(s.issueTicket))
-	mux.Handle("/services/{service}/{path...}", s.handler(s.pass))
+	mux.Handle("/services/{service}/{path...}", s.handler(s.servePlain))
 	mux.Handle("/", s.handler(func(http.ResponseWriter, *call) *fault.Error {
 		return fault.New(fault.UnknownService, "no such path; use /v1/chat/completions or /services/NAME/...")
 	}))
@@ -83,17 +83,17 @@
 	})
 }
 
-// call is one caller's request with what the headers say.
+// call is one caller's request with its parsed headers.
 type call struct {
 	*http.Request
 	id      string
 	headers headers
 	config  *confstate.Snapshot
-	// bodyRead tells that the whole body was read.
+	// bodyRead is set once the whole body has been read.
 	bodyRead bool
 }
 
-// handler checks the key and the headers, then runs next; a fault becomes the answer.
+// handler checks the key and the headers, then calls next; a fault becomes the answer.
 func (s *Server) handler(next func(http.ResponseWriter, *call) *fault.Error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		started := time.Now()
@@ -107,7 +107,7 @@
 		}
 		if f != nil {
 			if c.ContentLength != 0 && !c.bodyRead {
-				// net/http would wait for a body that may never come, before the refusal and after it.
+				// net/http would wait for a body that may never arrive, before and after the error is written.
 				w.Header().Set("Connection", "close")
 				_ = http.NewResponseController(w).SetReadDeadline(time.Now())
 			}
@@ -122,7 +122,7 @@
 	s.metrics.Count("edge.refused."+string(f.Kind), 1)
 }
 
-// newID is a request id: unique over all hosts, ordered by time for people who read logs.
+// newID returns a request ID: unique over all hosts, and ordered by time for people who read logs.
 func newID() string { return uuid.Must(uuid.NewV7()).String() }
 
 func (s *Server) identify(c *call) *fault.Error {
@@ -156,7 +156,7 @@
 	if !h.workspace.AllowsTier(tier.Name) {
 		return core.Submit{}, fault.New(fault.TierNotGranted, "workspace %s is not granted tier %s", h.workspace.Name, tier.Name)
 	}
-	if f := s.needTicket(h); f != nil {
+	if f := s.requireTicket(h); f != nil {
 		return core.Submit{}, f
 	}
 	deadline := tier.Deadline
@@ -176,15 +176,16 @@
 	}, nil
 }
 
-// digest names a request whatever its attempt.
+// digest returns the digest of a request, which is the same for all its attempts.
 func digest(c *call, body []byte) quarantine.Digest {
 	return quarantine.Identity{Workspace: c.headers.workspace.Name, Method: c.Method, Target: c.URL.RequestURI(), Body: body,
 		Length: int64(len(body))}.Digest()
 }
 
-// needTicket refuses non-idempotent work that the caller means to be able to ask for again: its own
-// id would be unknown to the host that a balancer picks for the second try.
-func (s *Server) needTicket(h headers) *fault.Error {
+// requireTicket refuses non-idempotent work that the caller wants to be able to retry (it has set its own ID) and that
+// has no ticket: the ID alone would be unknown to the host that a load balancer picks for the retry. The error carries
+// a ticket.
+func (s *Server) requireTicket(h headers) *fault.Error {
 	if !h.nonIdempotent || h.callerID == "" || h.ticket != nil {
 		return nil
 	}
@@ -197,7 +198,8 @@
 	return f
 }
 
-// newTicket refuses while the host drains: only this host could say whether the ticket has been used.
+// newTicket issues a ticket. It refuses while the host drains: only this host could tell later whether the ticket has
+// been used.
 func (s *Server) newTicket() (string, *fault.Error) {
 	if s.draining.Load() {
 		return "", s.drainingFault()
@@ -206,7 +208,7 @@
 	return t.String(), nil
 }
 
-// issueTicket gives a caller a ticket before its first try.
+// issueTicket serves POST /fireflyshift/v1/tickets: a caller gets a ticket before its first attempt.
 func (s *Server) issueTicket(w http.ResponseWriter, _ *call) *fault.Error {
 	issued, f := s.newTicket()
 	if f != nil {
@@ -216,5 +218,5 @@
 	return nil
 }
 
-// background is a context that outlives the caller's, for clean-up calls.
-func background(ctx context.Context) context.Context { return context.WithoutCancel(ctx) }
+// detached returns a context that outlives the caller's, for clean-up calls.
+func detached(ctx context.Context) context.Context { return context.WithoutCancel(ctx) }
--- a/internal/edge/sink.go
+++ b/internal/edge/sink.go
@@ -10,7 +10,7 @@
 	"fireflyshift/internal/fault"
 )
 
-// writeTimeout ends a caller that does not read; its slot and memory go to others.
+// writeTimeout ends the connection of a caller that does not read, so that its slot and memory are freed.
 const writeTimeout = 30 * time.Second
 
 // sink writes a model's answer to the caller.
@@ -26,25 +26,25 @@
 	if stream {
 		return &streamSink{w: w, control: http.NewResponseController(w)}
 	}
-	return &wholeSink{w: w, id: c.id, limit: limit}
+	return &bufferedSink{w: w, id: c.id, limit: limit}
 }
 
-// streamSink passes server-sent events on as they come.
+// streamSink passes server-sent events on as they arrive.
 type streamSink struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	begun   bool
+	w           http.ResponseWriter
+	control     *http.ResponseController
+	headWritten bool
 }
 
 func (s *streamSink) setBackend(name string) {
-	if !s.begun {
+	if !s.headWritten {
 		s.w.Header().Set(headerBackend, name)
 	}
 }
 
 func (s *streamSink) chunk(c *engine.Chunk) error {
-	if !s.begun {
-		s.begun = true
+	if !s.headWritten {
+		s.headWritten = true
 		s.w.Header().Set("Content-Type", "text/event-stream")
 		s.w.WriteHeader(http.StatusOK)
 	}
@@ -64,38 +64,38 @@
 func (s *streamSink) fault(f *fault.Error) {
 	switch {
 	case f == nil:
-	case s.begun:
+	case s.headWritten:
 		writeStreamFault(s.w, f)
 	default:
 		writeFault(s.w, f)
 	}
 }
 
-// wholeSink gathers the answer and writes it in one piece.
-type wholeSink struct {
-	w     http.ResponseWriter
-	id    string
-	limit int64
-	text  strings.Builder
-	last  *engine.Chunk
-	over  bool
+// bufferedSink collects the answer and writes it at once.
+type bufferedSink struct {
+	w        http.ResponseWriter
+	id       string
+	limit    int64
+	text     strings.Builder
+	last     *engine.Chunk
+	tooLarge bool
 }
 
-func (s *wholeSink) setBackend(name string) { s.w.Header().Set(headerBackend, name) }
+func (s *bufferedSink) setBackend(name string) { s.w.Header().Set(headerBackend, name) }
 
-func (s *wholeSink) chunk(c *engine.Chunk) error {
+func (s *bufferedSink) chunk(c *engine.Chunk) error {
 	s.text.WriteString(c.Text())
 	if c.Finished() != "" {
 		s.last = c
 	}
 	if int64(s.text.Len()) > s.limit {
-		s.over = true
+		s.tooLarge = true
 		return fmt.Errorf("the answer is larger than %d bytes", s.limit)
 	}
 	return nil
 }
 
-// completion is the whole answer in the chat-completions form.
+// completion is the complete answer in the chat-completions format.
 type completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -116,7 +116,7 @@
 	Content string `json:"content"`
 }
 
-func (s *wholeSink) done() error {
+func (s *bufferedSink) done() error {
 	writeJSON(s.w, http.StatusOK, completion{
 		ID:      s.id,
 		Object:  "chat.completion",
@@ -128,11 +128,11 @@
 	return nil
 }
 
-func (s *wholeSink) fault(f *fault.Error) {
+func (s *bufferedSink) fault(f *fault.Error) {
 	if f == nil {
 		return
 	}
-	if s.over {
+	if s.tooLarge {
 		f = fault.New(fault.AnswerCut, "the answer is larger than %d bytes; ask for a stream", s.limit)
 	}
 	writeFault(s.w, f)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -1,5 +1,5 @@
-// Package engine speaks to model engines. This file holds the wire format: chat completions over
-// server-sent events, with calls to re-attach to a stream, to suspend one and to go on with it.
+// Package engine is the client of model engines. This file holds the wire format: chat completions over server-sent
+// events, with calls to re-attach to a stream, to suspend one and to resume it.
 package engine
 
 import (
@@ -29,12 +29,12 @@
 // Chunk is one event of a stream.
 type Chunk struct {
 	ID     string `json:"id"`
-	Offset int    `json:"offset"` // index of the chunk's token in the answer
+	Offset int    `json:"offset"` // index of the chunk's token in the answer, from 0
 	Model  string `json:"model"`
 	// Choices has one element.
 	Choices []Choice `json:"choices"`
 	Usage   *Usage   `json:"usage,omitempty"`
-	// Raw is the event's data as it came.
+	// Raw is the event's data as received.
 	Raw []byte `json:"-"`
 }
 
@@ -45,22 +45,22 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta is new text.
+// Delta is the text that a chunk adds.
 type Delta struct {
 	Content string `json:"content"`
 }
 
-// Usage counts tokens.
+// Usage holds token counts.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Finish reasons that the system itself reads.
+// finishSuspended is the finish reason of an exported stream; others are passed on without being read.
 const finishSuspended = "suspended"
 
-// Text is the chunk's new text.
+// Text returns the text that the chunk adds.
 func (c *Chunk) Text() string {
 	if len(c.Choices) == 0 {
 		return ""
@@ -68,7 +68,7 @@
 	return c.Choices[0].Delta.Content
 }
 
-// Finished is the finish reason, empty while the answer goes on.
+// Finished returns the finish reason, or "" while the answer continues.
 func (c *Chunk) Finished() string {
 	if len(c.Choices) == 0 || c.Choices[0].FinishReason == nil {
 		return ""
@@ -76,7 +76,7 @@
 	return *c.Choices[0].FinishReason
 }
 
-// Suspended tells that the stream ended because it was exported.
+// Suspended reports whether the stream ended because it was exported.
 func (c *Chunk) Suspended() bool { return c.Finished() == finishSuspended }
 
 // KV is an exported stream: its cache and position.
@@ -85,18 +85,18 @@
 	Offset int             `json:"offset"`
 }
 
-// Client speaks to engines.
+// Client calls model engines.
 type Client struct{ http *http.Client }
 
 // NewClient returns a client with its own connections.
 func NewClient() *Client { return &Client{&http.Client{Transport: wire.NewTransport()}} }
 
-// Start begins a request on an engine. sent is false only when nothing was written.
+// Start starts a request on an engine. sent is false only if nothing was written.
 func (c *Client) Start(ctx context.Context, addr, id string, body []byte, h propagation.HeaderCarrier) (*Stream, bool, error) {
 	return c.open(ctx, http.MethodPost, addr, "/v1/chat/completions", id, body, h)
 }
 
-// Import goes on with a suspended stream, possibly on another engine.
+// Import resumes a suspended stream, possibly on another engine.
 func (c *Client) Import(ctx context.Context, addr, id string, kv *KV, h propagation.HeaderCarrier) (*Stream, bool, error) {
 	body, err := json.Marshal(kv)
 	if err != nil {
@@ -105,8 +105,8 @@
 	return c.open(ctx, http.MethodPost, addr, "/v1/streams/"+id+"/import", id, body, h)
 }
 
-// Reattach takes up a stream that was cut, at the offset of the first token that is missing. It is
-// the same dispatch: the engine runs nothing anew.
+// Reattach continues reading a stream that broke off, from the offset of the first missing token. It is part of the
+// same dispatch: the engine runs nothing again.
 func (c *Client) Reattach(ctx context.Context, addr, id string, offset int) (*Stream, error) {
 	ctx = wire.WithPermission(ctx, wire.Permission{}) // the dispatch was permitted
 	s, _, err := c.open(ctx, http.MethodGet, addr, fmt.Sprintf("/v1/streams/%s?offset=%d", id, offset), id, nil, nil)
@@ -135,18 +135,18 @@
 	return &Stream{body: resp.Body, lines: bufio.NewReaderSize(resp.Body, maxLine)}, true, nil
 }
 
-// StatusError is an engine's refusal.
+// StatusError is an engine's answer with a status other than 200.
 type StatusError struct {
 	Status int
 	Text   string
 }
 
-// Error gives the status and what the engine wrote.
+// Error returns the status and the engine's message.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("the engine answered %d: %s", e.Status, e.Text)
 }
 
-// Suspend exports a stream. The stream itself ends with a chunk that says so.
+// Suspend exports a stream. The stream itself ends with a chunk that has the finish reason "suspended".
 func (c *Client) Suspend(ctx context.Context, addr, id string) (*KV, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -167,7 +167,7 @@
 	return &kv, trace.Wrap(err)
 }
 
-// Cancel ends a stream whose answer nobody waits for.
+// Cancel stops a stream whose answer is no longer needed. Errors are ignored.
 func (c *Client) Cancel(ctx context.Context, addr, id string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -180,19 +180,19 @@
 	}
 }
 
-// Load is an engine's report.
+// Load is an engine's load report.
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
 
-// Load reads an engine's lagging load report.
+// Load reads an engine's load report, which lags behind.
 func (c *Client) Load(ctx context.Context, addr string) (Load, error) {
 	var l Load
 	return l, c.getJSON(ctx, addr, "/load", callTimeout, &l)
 }
 
-// Evictions are cache events; they come late and with gaps.
+// Evictions are cache events; they arrive late and with gaps.
 type Evictions struct {
 	Next    uint64   `json:"next"`
 	Evicted []uint64 `json:"evicted"`
@@ -222,17 +222,17 @@
 	return trace.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxKV)).Decode(into))
 }
 
-// Stream is an answer as it comes.
+// Stream is an answer that is read as it arrives.
 type Stream struct {
 	body  io.ReadCloser
 	lines *bufio.Reader
 }
 
-// ErrDone tells that the engine closed the answer with [DONE].
-var ErrDone = fmt.Errorf("the answer is done")
+// ErrDone is returned by Next once the engine has ended the answer with [DONE].
+var ErrDone = fmt.Errorf("the answer is complete")
 
-// Next returns the next chunk, ErrDone after the last, any other error when the stream was cut.
-// A body that ends without [DONE] is io.ErrUnexpectedEOF, never a short success.
+// Next returns the next chunk, ErrDone after the last, and any other error if the stream broke off. A body that ends
+// without [DONE] is io.ErrUnexpectedEOF, never a short success.
 func (s *Stream) Next() (*Chunk, error) {
 	for {
 		line, err := s.lines.ReadSlice('\n')
@@ -257,5 +257,5 @@
 	}
 }
 
-// Close lets the connection go.
+// Close releases the connection.
 func (s *Stream) Close() { s.body.Close() }
--- a/internal/engine/client_test.go
+++ b/internal/engine/client_test.go
@@ -13,8 +13,8 @@
 	return &Stream{body: io.NopCloser(strings.NewReader("")), lines: bufio.NewReaderSize(strings.NewReader(text), maxLine)}
 }
 
-// An engine's connection ends without an error and without the end mark. A caller would take half
-// an answer for a whole one.
+// An engine's connection ends without an error and without [DONE]. A caller must not take half an answer for a complete
+// one.
 func TestBodyThatEndsEarlyIsAnError(t *testing.T) {
 	const chunk = `data: {"id":"r","offset":0,"choices":[{"delta":{"content":"x"}}]}` + "\n\n"
 	s := streamOf(chunk)
@@ -32,10 +32,10 @@
 	require.Error(t, err)
 	require.NotErrorIs(t, err, ErrDone)
 	_, err = streamOf("data: " + strings.Repeat("x", 2*maxLine)).Next()
-	require.Error(t, err, "a line without end costs bounded memory")
+	require.Error(t, err, "the memory for an endless line is bounded")
 }
 
-// Prefixes that agree must have equal hashes, whatever follows.
+// Equal prefixes must have equal hashes, whatever follows.
 func TestPrefixHashesAgreeOnWhatIsShared(t *testing.T) {
 	shared := strings.Repeat("s", 1500)
 	a, b := PrefixHashes(shared+"one"), PrefixHashes(shared+"two!")
--- a/internal/engine/prefix.go
+++ b/internal/engine/prefix.go
@@ -2,16 +2,16 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Prefixes are hashed at lengths that double, from firstPrefix bytes: about 64 to 8,192 tokens.
+// Prefixes are hashed at lengths that double, starting at firstPrefix bytes: about 64 to 8,192 tokens.
 const (
 	firstPrefix   = 256
 	prefixLengths = 8
-	// BytesPerToken converts text to tokens where no tokenizer is at hand.
+	// BytesPerToken is the average used to estimate tokens from text without a tokenizer.
 	BytesPerToken = 4
 )
 
-// PrefixHashes gives the hash of each prefix of a prompt, shortest first. Engines name their cache
-// entries by the same hashes.
+// PrefixHashes returns the hash of each prefix of a prompt, shortest first. Engines identify their cache entries by the
+// same hashes.
 func PrefixHashes(prompt string) []uint64 {
 	var out []uint64
 	for i := 0; i < prefixLengths; i++ {
@@ -24,7 +24,8 @@
 	return out
 }
 
-// ShortHashes keeps 32 bits of each hash: enough to believe by, at half the bytes between hosts.
+// ShortHashes keeps the low 32 bits of each hash, which is precise enough for cache estimates at half the bytes between
+// hosts.
 func ShortHashes(hashes []uint64) []uint32 {
 	out := make([]uint32, len(hashes))
 	for i, h := range hashes {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,5 +1,5 @@
-// Package fault holds the typed errors that callers and operators read. Every kind has a status,
-// a statement on whether the work ran, and a message that names the remedy.
+// Package fault defines the typed errors that callers and operators see. Every kind has a status, a statement on
+// whether the work ran, and a message with the remedy.
 package fault
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/gravitational/trace"
 )
 
-// Ran states whether the caller's work happened.
+// Ran states whether the caller's work was run.
 type Ran string
 
-// The three statements that a refusal can make. NotRun is said only where it is proved.
+// The three statements that an error can make. NotRun is used only if it is proved.
 const (
 	NotRun     Ran = "not run"
 	MayHaveRun Ran = "may have run"
@@ -52,7 +52,7 @@
 	DeadlineExceeded   Kind = "deadline_exceeded"
 	Quarantined        Kind = "quarantined"
 	Stopped            Kind = "stopped"
-	// Moved is internal: the group has another scheduler. It never reaches a caller.
+	// Moved is internal: another scheduler is responsible for the group. It never reaches a caller.
 	Moved Kind = "moved"
 )
 
@@ -61,7 +61,7 @@
 	Kind   Kind
 	Status int
 	Ran    Ran
-	// RetryAfter is the default time to come back; zero means that the same request cannot succeed.
+	// RetryAfter is the default time after which to retry; zero means that the same request cannot succeed.
 	RetryAfter time.Duration
 	Remedy     string
 }
@@ -96,7 +96,7 @@
 	Moved:              {Moved, http.StatusServiceUnavailable, NotRun, 0, "ask the group's current scheduler"},
 }
 
-// Specs lists every kind that a caller can meet, by name.
+// Specs returns the specs of every kind that a caller can receive, sorted by name.
 func Specs() []Spec {
 	out := make([]Spec, 0, len(specs))
 	for _, s := range specs {
@@ -116,7 +116,7 @@
 	Ticket string
 }
 
-// Error gives the detail and the remedy.
+// Error returns the kind, the detail and the remedy.
 func (e *Error) Error() string {
 	if e.Detail == "" {
 		return fmt.Sprintf("%s (%s): %s", e.Kind, e.Ran, e.Remedy)
@@ -124,8 +124,8 @@
 	return fmt.Sprintf("%s (%s): %s; %s", e.Kind, e.Ran, e.Detail, e.Remedy)
 }
 
-// New returns an error of a kind with a formatted detail. Unknown kinds, which only a newer peer
-// can send, read as OutcomeUnknown: the weakest statement.
+// New returns an error of a kind with a formatted detail. Unknown kinds, which only a newer peer can send, become
+// OutcomeUnknown, the most cautious statement.
 func New(kind Kind, format string, args ...any) *Error {
 	spec, ok := specs[kind]
 	if !ok {
@@ -134,7 +134,7 @@
 	return &Error{Spec: spec, Detail: fmt.Sprintf(format, args...)}
 }
 
-// WithRetryAfter returns a copy with another time to come back.
+// WithRetryAfter returns a copy with another RetryAfter.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
@@ -148,12 +148,12 @@
 	Remedy string
 }
 
-// Error names the place, the reason and the remedy.
+// Error returns the place, the reason and the remedy.
 func (e *Invalid) Error() string {
 	return fmt.Sprintf("%s: %s; %s", e.Where, e.Reason, e.Remedy)
 }
 
-// Invalidf builds an Invalid wrapped with a trace.
+// Invalidf returns an Invalid wrapped with a stack trace.
 func Invalidf(where, remedy, format string, args ...any) error {
 	return trace.Wrap(&Invalid{Where: where, Reason: fmt.Sprintf(format, args...), Remedy: remedy})
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire makes HTTP calls to backend servers that are written at most once, and proves it
-// when nothing was written.
+// Package wire makes HTTP calls to backend servers that are written at most once, and proves it when nothing was
+// written.
 package wire
 
 import (
@@ -21,8 +21,8 @@
 	dialTimeout    = time.Second
 	maxIdlePerHost = 256
 	idleTimeout    = 30 * time.Second
-	// writeBuffer holds the head of a request and a body of usual length, some thousand tokens of prompt, so that
-	// they leave in one write; more costs memory on each connection.
+	// writeBuffer holds the head of a request and a body of usual size (a prompt of some thousand tokens), so that they
+	// are written at once. A larger buffer costs memory on each connection.
 	writeBuffer = 16 << 10
 )
 
@@ -44,23 +44,22 @@
 	}
 }
 
-// ErrNotPermitted tells that the permission to make a call had ended before its first byte was written.
+// ErrNotPermitted is returned if the permission for a call had ended before its first byte was written.
 var ErrNotPermitted = errors.New("the permission to send has ended")
 
 type permissionKey struct{}
 
-// Permission is asked once more as a call is written, before each write. It guards against a process that is paused
-// between its decision and the write, or between two writes: on waking it would send on a lease that others count
-// as ended. What is left is a pause in the few instructions between the question and the system call, so that nothing
-// else belongs there.
+// Permission is checked again before each write of a call. It guards against a process that is paused between its
+// decision and the write, or between two writes: on waking it would send on a lease that others count as ended. Only a
+// pause in the few instructions between the check and the system call remains possible, so nothing else belongs there.
 type Permission struct {
-	// Check tells whether the call may still be made. It must not wait.
+	// Check reports whether the call may still be made. It must not block.
 	Check func() bool
-	// OnResult, if set, is called once, after the first write or after Ask has said no to it, with what Ask said.
+	// OnResult, if set, is called once, after the first write or after Check has refused it, with the result of Check.
 	OnResult func(permitted bool)
 }
 
-// WithPermission makes a call ask; the zero Permission takes an earlier one off.
+// WithPermission attaches a permission to a call; the zero Permission removes an earlier one.
 func WithPermission(ctx context.Context, p Permission) context.Context {
 	return context.WithValue(ctx, permissionKey{}, p)
 }
@@ -69,21 +68,21 @@
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
-	// permission is asked before each write of the request under way; told is set after its first one.
+	// permission is checked before each write of the current request; reported is set after its first one.
 	permission atomic.Pointer[Permission]
-	told       bool
+	reported   bool
 }
 
-// Write counts, then writes: a count that has not moved proves that nothing left.
+// Write counts, then writes: an unchanged count proves that nothing was sent.
 func (c *countingConn) Write(p []byte) (written int, err error) {
 	for permission := c.permission.Load(); permission != nil && err == nil && written < len(p); {
 		var n int
 		n, err = c.writePermitted(p[written:], permission.Check)
 		written += n
-		if permission.OnResult != nil && !c.told {
+		if permission.OnResult != nil && !c.reported {
 			permission.OnResult(!errors.Is(err, ErrNotPermitted))
 		}
-		c.told = true
+		c.reported = true
 	}
 	if err != nil || written == len(p) {
 		return written, err
@@ -92,64 +91,63 @@
 	return c.Conn.Write(p)
 }
 
-// writePermitted asks with the descriptor in hand, and writes as much as the socket takes at once: whatever the
-// library does before a write is done before the question.
-func (c *countingConn) writePermitted(p []byte, ask func() bool) (n int, err error) {
+// writePermitted calls check while it holds the file descriptor, and writes as much as the socket takes at once, so
+// that whatever the library does before a write is done before the check.
+func (c *countingConn) writePermitted(p []byte, check func() bool) (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0, trace.Wrap(err)
 	}
-	waited := raw.Write(func(fd uintptr) bool {
-		if !ask() {
+	waitErr := raw.Write(func(fd uintptr) bool {
+		if !check() {
 			err = ErrNotPermitted
 			return true
 		}
 		n, err = unix.Write(int(fd), p)
 		if err == unix.EAGAIN || err == unix.EINTR {
 			n, err = 0, nil
-			return false // asked again once the socket takes bytes
+			return false // checked again once the socket is writable
 		}
-		c.written.Add(int64(max(1, n))) // a failed write counts too: nobody knows what left
+		c.written.Add(int64(max(1, n))) // a failed write counts too: what was sent is unknown
 		return true
 	})
 	if err == nil {
-		err = waited
+		err = waitErr
 	}
 	return max(0, n), err
 }
 
-// onceBody hides what kind of body it is. net/http repeats a request by itself on another
-// connection when it can rewind the body or thinks there is none; with this body it cannot, so no
-// request is written twice. It shows otherwise as one GET that a plain service runs twice when a
-// kept connection dies. A body of known length in memory is left as it is: the library cannot rewind it either without
-// GetBody, and it writes the head of a request apart from a body that it does not know.
-type onceBody struct{ io.ReadCloser }
+// unrewindableBody hides the type of a body. net/http retries a request on another connection if it can rewind the body
+// or thinks there is none. This body prevents that, so no request is written twice; otherwise a plain service runs one
+// GET twice if a kept-alive connection breaks. An in-memory body of known length is not wrapped: net/http cannot rewind
+// it either without GetBody, and it writes the head of a request separately from a body of unknown type.
+type unrewindableBody struct{ io.ReadCloser }
 
-// Do makes a call. sent is false only when no byte of the request was written to any connection.
+// Do makes a call. sent is false only if no byte of the request was written to any connection.
 func Do(client *http.Client, req *http.Request) (resp *http.Response, sent bool, err error) {
 	if req.Body == nil || req.Body == http.NoBody {
 		req.Body = io.NopCloser(emptyReader{})
 	}
 	if req.ContentLength <= 0 {
-		req.Body = onceBody{req.Body}
+		req.Body = unrewindableBody{req.Body}
 	}
 	req.GetBody = nil
 	var used atomic.Pointer[countingConn]
 	var before atomic.Int64
-	var unknown atomic.Bool
+	var untracked atomic.Bool
 	ctx := httptrace.WithClientTrace(req.Context(), &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			c, ok := info.Conn.(*countingConn)
 			if !ok || used.Load() != nil {
-				unknown.Store(true)
+				untracked.Store(true)
 				return
 			}
 			before.Store(c.written.Load())
-			c.told = false
+			c.reported = false
 			c.permission.Store(permissionOf(req))
 			used.Store(c)
 		},
-		GotFirstResponseByte: func() { // what the server has begun is not taken back
+		GotFirstResponseByte: func() { // the server has started to answer, so the rest may be written
 			if c := used.Load(); c != nil {
 				c.permission.Store(nil)
 			}
@@ -160,7 +158,7 @@
 		return resp, true, nil
 	}
 	c := used.Load()
-	sent = unknown.Load() || (c != nil && c.written.Load() != before.Load())
+	sent = untracked.Load() || (c != nil && c.written.Load() != before.Load())
 	return nil, sent, err
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host is paused after it has checked its permission to dispatch and before the request is written. It wakes
-// seconds later, and an engine that has left meanwhile got a request. The permission is asked for once more as
-// the first byte goes out; where it has ended nothing is written, which is provably not sent.
+// A host is paused after it has checked its permission to dispatch and before the request is written. It woke seconds
+// later, and an engine that had left meanwhile got the request. The permission is checked again as the first byte is
+// written; if it has ended, nothing is written and the request is provably not sent.
 func TestEndedPermissionWritesNothing(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
@@ -31,13 +31,13 @@
 		}
 		return sent, err
 	}
-	asked := 0
-	sent, err := call(func() bool { asked++; return false })
+	checks := 0
+	sent, err := call(func() bool { checks++; return false })
 	require.True(t, errors.Is(err, ErrNotPermitted), "%v", err)
 	require.False(t, sent)
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, checks)
 	require.Zero(t, calls.Load())
-	for range 2 { // the second on the kept connection
+	for range 2 { // the second on the kept-alive connection
 		sent, err = call(func() bool { return true })
 		require.NoError(t, err)
 		require.True(t, sent)
@@ -48,23 +48,24 @@
 	require.EqualValues(t, 2, calls.Load())
 }
 
-// A host writes a request to an engine and is paused. The engine began it when the host woke up, four seconds later, though
-// the lease was looked at in time: net/http writes the head of a request apart from a body whose type it does not know, and
-// the pause fell between the two writes. It showed as "Dispatch." with write_us=6115 written=true before the pause, and a
-// run begun in the millisecond of the waking. The head and a body of usual length go out in one write.
+// A host writes a request to an engine and is paused. The engine ran it when the host woke up four seconds later,
+// although the lease had been checked in time: net/http writes the head of a request separately from a body of unknown
+// type, and the pause fell between the two writes. The log showed "Dispatch." with write_us=6115 written=true before
+// the pause, and a run that started in the millisecond in which the host woke. The head and a body of usual size must
+// go out in one write.
 func TestRequestIsWrittenAtOnce(t *testing.T) {
-	whole := make(chan string, 1)
+	received := make(chan string, 1)
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		whole <- string(body)
+		received <- string(body)
 	}))
 	defer srv.Close()
 	body := strings.Repeat("x", 8<<10)
 	arrived := false
 	ctx := WithPermission(t.Context(), Permission{Check: func() bool { return true }, OnResult: func(bool) {
-		// The writer stands still here, as in a pause.
+		// The writer is blocked here, as in a pause.
 		select {
-		case got := <-whole:
+		case got := <-received:
 			arrived = got == body
 		case <-time.After(2 * time.Second):
 		}
@@ -74,11 +75,11 @@
 	resp, _, err := Do(&http.Client{Transport: NewTransport()}, req)
 	require.NoError(t, err)
 	resp.Body.Close()
-	require.True(t, arrived, "only a part had left the host")
+	require.True(t, arrived, "only a part of the request was written")
 }
 
-// A longer body takes several writes. The permission is asked for before each: a server that has half a request when
-// the host is paused never gets the rest.
+// A longer body takes several writes, and the permission is checked before each: a server that has half a request when
+// the host is paused must not get the rest.
 func TestEndedPermissionStopsALongRequest(t *testing.T) {
 	var begun atomic.Bool
 	srv := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -87,14 +88,14 @@
 		}
 	}))
 	defer srv.Close()
-	asked := 0
-	ctx := WithPermission(t.Context(), Permission{Check: func() bool { asked++; return asked == 1 }})
+	checks := 0
+	ctx := WithPermission(t.Context(), Permission{Check: func() bool { checks++; return checks == 1 }})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, srv.URL, strings.NewReader(strings.Repeat("x", 1<<20)))
 	require.NoError(t, err)
 	_, sent, err := Do(&http.Client{Transport: NewTransport()}, req)
 	require.Error(t, err)
-	require.True(t, sent, "a part has left")
-	require.Equal(t, 2, asked)
+	require.True(t, sent, "a part was written")
+	require.Equal(t, 2, checks)
 	srv.Close() // waits for the handler
 	require.False(t, begun.Load())
 }
