--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -8,7 +8,7 @@
 	"fireflyshift/internal/routing"
 )
 
-// priorities is how many ranks are told apart; less urgent ones count as the last.
+// priorities is the number of urgency levels that are counted separately; less urgent ranks count as the last.
 const priorities = 4
 
 const (
@@ -16,50 +16,51 @@
 	learnRate = 0.1
 )
 
-// backend is what this host believes of one backend server.
+// backend is the state of one backend server as known to this host.
 type backend struct {
 	routing.Backend
 	revision routing.Revision
-	// removedRevision is the revision of the latest removal; zero where there was none. listed is that of the latest registration.
+	// removedRevision is the revision of the latest removal, zero if there was none, and registeredRevision that of the
+	// latest registration.
 	removedRevision    routing.Revision
 	registeredRevision routing.Revision
 	removed            bool
 	removedAt          time.Duration
 	usableUntil        time.Duration
-	// ownLoad and othersLoad are requests in flight by priority: this host's, and the other hosts' by their
-	// latest beats.
+	// ownLoad and othersLoad are the load from this host and from the other hosts, by their latest heartbeats.
 	ownLoad, othersLoad load
-	// othersReportedAt is when others last told of it.
+	// othersReportedAt is when other hosts' load was last reported.
 	othersReportedAt time.Duration
-	// ownerLoad is what its owner says of other hosts' requests there, which counts instead of others
-	// while fromOwner is set.
+	// ownerLoad is the load from other hosts as reported by the owner, which counts instead of othersLoad
+	// while useOwnerReport is set.
 	ownerLoad       load
 	ownerReportedAt time.Duration
 	useOwnerReport  bool
-	// owned tells that this host owns it, as of the last computation.
+	// owned is set if this host is the owner, as of the last computation.
 	owned bool
 	hash  uint32
 	// interval is the learned time between the events of a stream, or to the answer of a plain call.
 	interval time.Duration
 	samples  int
-	// prefillPerToken is the learned time to prefillPerToken a prompt token; zero where unknown.
+	// prefillPerToken is the learned time to prefill one prompt token; zero if unknown.
 	prefillPerToken time.Duration
-	// reportedSpeed is the speed that this host last reportedSpeed others.
+	// reportedSpeed is the speed last sent to other hosts.
 	reportedSpeed speed
 	failureState
-	// replaced tells that another instance has its address: this one never comes back.
+	// replaced is set if another instance has its address: this one never comes back.
 	replaced bool
-	// leaving tells that it has said in an answer that it leaves, to this host if announcedLeaving, or to another one.
+	// leaving is set if it has announced in an answer that it is about to shut down; announcedLeaving if that answer went to
+	// this host.
 	leaving, announcedLeaving bool
-	// holdOffUntil is until when it wants nothing from this host.
+	// holdOffUntil is until when it has asked this host to send it nothing.
 	holdOffUntil time.Duration
-	// evacuated tells that operators have evacuated its availability zone.
+	// evacuated is set if its availability zone is evacuated.
 	evacuated bool
 	warming   coldState
-	// exited tells that its process has exited without leaving; broken are requests that broke there before that was known.
+	// exited is set if its process has ended without announcing it. brokenRuns are requests that broke there before that was known.
 	exited     bool
 	brokenRuns []brokenRequest
-	// probedUntil is until when it is not asked again whether it can be reached.
+	// probedUntil is until when it is not probed again.
 	probedUntil time.Duration
 }
 
@@ -67,8 +68,8 @@
 	return &backend{Backend: b, hash: hashOf(b)}
 }
 
-// hashOf names one start of a backend server in beats, so that what others tell of an earlier start is
-// not counted for the next.
+// hashOf identifies one start of a backend server in messages, so that reports on an earlier start do not
+// count for the next.
 func hashOf(b routing.Backend) uint32 {
 	if b.Start == 0 {
 		return uint32(xxhash.Sum64String(b.ID))
@@ -76,7 +77,7 @@
 	return uint32(xxhash.Sum64String(b.ID + "/" + formatBase36(b.Start)))
 }
 
-// hashesOf names the registered backend servers that a test accepts, in order of their ids, as beats name them.
+// hashesOf returns the hashes of the registered backend servers that match, in order of ID.
 func (r *Router) hashesOf(match func(*backend) bool) []uint32 {
 	var out []uint32
 	for _, b := range r.allBackends() {
@@ -87,12 +88,12 @@
 	return out
 }
 
-// inFlight is how many requests the backend server is believed to hold.
+// inFlight is the number of requests at the backend server, from all hosts, as known to this host.
 func (b *backend) inFlight() int {
 	return b.ownLoad.total() + b.loadOfOthers().total()
 }
 
-// loadOfOthers is what other hosts are believed to carry there.
+// loadOfOthers is the load from other hosts, as reported by the owner or by those hosts.
 func (b *backend) loadOfOthers() load {
 	if b.useOwnerReport {
 		return b.ownerLoad
@@ -100,10 +101,10 @@
 	return b.othersLoad
 }
 
-// exclusion is why a backend server may not get new work.
+// exclusion is the reason why a backend server may not get new requests.
 type exclusion string
 
-// The bars. One that is notExcluded has none.
+// The exclusions. They are shown to operators.
 const (
 	notExcluded exclusion = ""
 	gone        exclusion = "gone"
@@ -114,7 +115,7 @@
 	holdingOff  exclusion = "away"
 )
 
-// excluded tells why new work may not go to a backend server.
+// excluded returns why a backend server may get no new requests, or notExcluded.
 func (b *backend) excluded(now time.Duration) exclusion {
 	switch {
 	case b.removed && now >= b.usableUntil:
@@ -134,12 +135,13 @@
 	}
 }
 
-// usable tells whether new work may go there, and whether only for want of others.
+// usable reports whether the backend server may get new requests, and if so whether only when there is no other, because its
+// registration has lapsed.
 func (b *backend) usable(now time.Duration) (ok, doubtful bool) {
 	return b.excluded(now) == notExcluded, b.removed
 }
 
-// learnEventInterval learns the time between events, or of a plain answer.
+// learnEventInterval adds an observed time between events, or to a plain answer.
 func (b *backend) learnEventInterval(interval time.Duration) {
 	if interval <= 0 {
 		return
--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -11,41 +11,42 @@
 )
 
 const (
-	// minHeartbeatInterval is the period of heartbeats in a zone of up to twenty hosts, where nothing changes.
+	// minHeartbeatInterval is the interval between heartbeats in a zone of up to twenty hosts while nothing changes.
 	minHeartbeatInterval = 100 * time.Millisecond
-	// heartbeatIntervalPerHost stretches the period with the zone's hosts, so that what a host sends and hears a
-	// second stays the same, and beatMost bounds it.
+	// heartbeatIntervalPerHost stretches the interval with the number of hosts in the zone, so that the datagrams a host sends and
+	// receives per second stay constant. maxHeartbeatInterval bounds it.
 	heartbeatIntervalPerHost = 5 * time.Millisecond
 	maxHeartbeatInterval     = 300 * time.Millisecond
-	// ownersIntervalPerHost and sharedMost are the same where backend servers have owners, who hear of each request
-	// at once: beats then tell who lives, what there is to know and what quotas have spent. At half the pace a
-	// dead host's requests would seem to fill its zone's engines for twice as long.
+	// ownersIntervalPerHost and maxOwnersInterval are the same for fleets in which backend servers have owners, which learn of each
+	// request at once. Heartbeats there only carry liveness, revisions and quota spending. At half the rate a
+	// dead host's requests would appear to fill its zone's engines for twice as long.
 	ownersIntervalPerHost = 15 * time.Millisecond
 	maxOwnersInterval     = time.Second
-	// quotaLowDuration is how long after a request of a workspace whose quota is half empty beats go out twice as
-	// often: what others admit matters soon.
+	// quotaLowDuration is how long heartbeats are sent twice as often after a request of a workspace whose quota is
+	// half exhausted: what others admit then matters soon.
 	quotaLowDuration = 2 * time.Second
-	// joinGapPerHost is changePerHost there, where only hosts that join are told ahead of the next beat.
+	// joinGapPerHost replaces changeGapPerHost there, where only joining hosts cause early heartbeats.
 	joinGapPerHost = 4 * time.Millisecond
-	// fullSpentHeartbeats is how many beats pass between two that tell all that was spent of quotas; the others tell
-	// what has changed.
+	// fullSpentHeartbeats is the number of heartbeats among which one carries all quota spending; the others carry what has
+	// changed.
 	fullSpentHeartbeats = 4
-	// maxNamedPeers bounds the hosts that a beat of a large fleet names once nobody is new.
+	// maxNamedPeers limits the hosts named in a heartbeat of a large fleet once no host is new.
 	maxNamedPeers = 6
-	// minChangeGap is how soon after the last beat a change of what this host carries is told, and
-	// changePerHost stretches it with the zone's hosts. Under load all choose among the few engines that
-	// look free, and streams wait where several have chosen the same one by old counts.
+	// minChangeGap is how soon after a heartbeat a change of this host's load is sent, and
+	// changeGapPerHost stretches it with the number of hosts in the zone. Under load all hosts choose among the few engines that
+	// look free, and streams wait where several have chosen the same one by outdated counts.
 	minChangeGap     = 20 * time.Millisecond
 	changeGapPerHost = time.Millisecond
-	// peerExchangeInterval is how often a beat names the hosts that its sender knows, and peersPerHost stretches it with the zone's hosts,
-	// as all of them hear it. Of a host that joins they hear at once.
+	// peerExchangeInterval is how often a heartbeat names known peers. peerExchangeIntervalPerHost stretches it with the number of
+	// hosts in the zone, as all of them receive it. A joining host is named at once.
 	peerExchangeInterval        = time.Second
 	peerExchangeIntervalPerHost = 80 * time.Millisecond
 )
 
+// formatBase36 formats a number as compactly as identifiers in messages need it.
 func formatBase36(n uint64) string { return strconv.FormatUint(n, 36) }
 
-// sendHeartbeats tells the hosts that this one talks to directly what it carries.
+// sendHeartbeats sends a heartbeat to all hosts that this one exchanges heartbeats with.
 func (r *Router) sendHeartbeats() {
 	peers, period, perHost := time.Duration(len(r.zonePeers())), r.heartbeatInterval(), changeGapPerHost
 	if r.usesOwners() {
@@ -76,7 +77,7 @@
 	}
 }
 
-// heartbeatInterval is the time between two beats that nothing brings forward.
+// heartbeatInterval is the time between two heartbeats if nothing causes an early one.
 func (r *Router) heartbeatInterval() time.Duration {
 	peers := time.Duration(len(r.zonePeers()))
 	if r.usesOwners() {
@@ -85,19 +86,19 @@
 	return min(maxHeartbeatInterval, max(minHeartbeatInterval, heartbeatIntervalPerHost*peers))
 }
 
-// markLoadChanged lets a small fleet hear at once that this host carries something else than its last beat
-// said. In a large one the owners of backend servers hear of each request instead.
+// markLoadChanged causes an early heartbeat in a small fleet because this host's load has changed. In a large fleet the owners
+// of backend servers receive a report of each request instead.
 func (r *Router) markLoadChanged() { r.heartbeatPending = r.heartbeatPending || !r.usesOwners() }
 
-// sendEarlyHeartbeat sends a beat ahead of its time where what this host carries has changed.
+// sendEarlyHeartbeat sends a pending heartbeat ahead of its regular time.
 func (r *Router) sendEarlyHeartbeat() {
 	if r.heartbeatPending && r.now >= r.earlyHeartbeatAt {
 		r.sendHeartbeats()
 	}
 }
 
-// emitHeartbeat sends a beat whose parts fill adds. A beat always carries the loads: it replaces the one
-// before.
+// emitHeartbeat sends a heartbeat to which fill adds optional parts. Each heartbeat replaces the previous one, so it always
+// carries the loads.
 func (r *Router) emitHeartbeat(to []string, fill func(*gossippb.Beat)) {
 	if len(to) == 0 {
 		return
@@ -117,8 +118,8 @@
 	r.emit(SendHeartbeat{To: to, Heartbeat: b})
 }
 
-// heartbeatTargets are the hosts that this one talks to directly and hears, and now and then those that
-// may be there.
+// heartbeatTargets returns the reachable hosts that this one exchanges heartbeats with, and those unreachable or
+// unconfirmed ones that are due for another attempt.
 func (r *Router) heartbeatTargets() []string {
 	for _, h := range r.opt.Seeds {
 		r.learnHost(h, "")
@@ -146,7 +147,7 @@
 	return to
 }
 
-// contactDue paces the beats to hosts that do not answer.
+// contactDue limits heartbeats to a host that does not answer to one per contactInterval.
 func (r *Router) contactDue(host string) bool {
 	if r.now < r.members.contactAt[host] {
 		return false
@@ -165,16 +166,16 @@
 	return out
 }
 
-// ownUnreachable are the backend servers that this host lately could not connect to, or whose address another has.
+// ownUnreachable returns the backend servers that this host recently could not connect to, or whose address has another instance.
 func (r *Router) ownUnreachable() []uint32 {
 	return r.hashesOf(func(b *backend) bool { return r.now < b.unreachableUntil || b.replaced })
 }
 
-// uptimeMs is how long this host has run, as beats tell it.
+// uptimeMs is how long this host has run, capped to what a heartbeat can carry.
 func (r *Router) uptimeMs() uint32 { return uint32(min(r.now.Milliseconds(), math.MaxUint32)) }
 
-// ownSpent is what this host has admitted by workspace. In a large fleet most beats leave out what has not
-// changed since the last one.
+// ownSpent returns what this host has admitted by workspace. In a large fleet most heartbeats leave out amounts that
+// have not changed since the last one.
 func (r *Router) ownSpent() []*gossippb.Spent {
 	var out []*gossippb.Spent
 	r.spentReports++
@@ -189,7 +190,7 @@
 	return out
 }
 
-// quotaNames are the workspaces with quotas, in order; the list is kept until a configuration changes them.
+// quotaNames returns the workspaces with quotas, sorted. The list is kept until a configuration changes it.
 func (r *Router) quotaNames() []string {
 	if r.sortedQuotas == nil {
 		r.sortedQuotas = slices.Sorted(maps.Keys(r.quotas))
--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -82,7 +82,7 @@
 	registers(r, time.Second, changeOf("ended", 52, false))
 	at := 12 * time.Second
 	out := r.Reduce(at, listing(inEra(1, 20), servers(inEra(1, 10), "old")))
-	note := noteOf(out, "store is back from an older copy")
+	note := noteOf(out, "store restored from an older copy")
 	require.NotNil(t, note)
 	require.Equal(t, "store", note.Subject)
 	require.Contains(t, note.Detail, "1/20 after 0/52")
@@ -124,7 +124,7 @@
 	require.NoError(t, json.Unmarshal(data, &told))
 	told.From = "10.0.0.9"
 	out := refused.Reduce(3*time.Second, told)
-	require.Equal(t, "10.0.0.9", noteOf(out, "store is back from an older copy").Subject)
+	require.Equal(t, "10.0.0.9", noteOf(out, "store restored from an older copy").Subject)
 	require.Equal(t, inEra(1, 20), refused.updates.completeTo)
 	require.True(t, usable(refused, "a"))
 	refused.Reduce(3*time.Second+lostBackendTTL, Tick{})
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -12,23 +12,24 @@
 )
 
 const (
-	// evacuationEndTTL is how long beats tell that an availability zone was taken back; who has not heard it by then finds by the
-	// digest that its news differ.
+	// evacuationEndTTL is how long heartbeats carry the end of an evacuation. A host that has not received it by then notices by
+	// the digest that its state differs.
 	evacuationEndTTL = 10 * time.Second
-	// lostEvacuationTTL is how long an evacuation stays that a later era of the store does not list: operators write again
-	// what an older copy has lost.
+	// lostEvacuationTTL is how long an evacuation is kept that a later era of the store does not list. Operators repeat
+	// what a restored copy of the store has lost.
 	lostEvacuationTTL = 10 * time.Second
-	// maxEvacuations bounds the zones that are remembered, as others' words name them.
+	// maxEvacuations limits the zones that are remembered, as messages from other hosts may name any.
 	maxEvacuations = 64
 )
 
-// evacuation is the latest word of operators on whether an availability zone's backend servers may get requests.
+// evacuation is the latest decision of operators on whether an availability zone's backend servers may get requests.
 type evacuation struct {
 	routing.Evacuation
-	at time.Duration // when this host took it
+	at time.Duration // when this host learned of it
 }
 
-// fingerprint stands for the word in a digest. That a zone was taken back is none: a host that starts later need not know.
+// fingerprint is the evacuation's contribution to the digest. One that has ended contributes nothing, as a host that starts
+// later need not know of it.
 func (e *evacuation) fingerprint() uint64 {
 	if e.Ended {
 		return 0
@@ -36,20 +37,20 @@
 	return xxhash.Sum64String(e.Zone + "/" + e.Revision.String())
 }
 
-// evacuated tells whether nothing may be sent to an availability zone's backend servers.
+// evacuated reports whether an availability zone's backend servers may get no requests.
 func (r *Router) evacuated(zone string) bool {
 	e, ok := r.evacuations[zone]
 	return ok && !e.Ended
 }
 
-// applyEvacuation takes the word of the store or of a peer on one availability zone.
+// applyEvacuation merges the evacuation state of one availability zone, sent by the store or a peer.
 func (r *Router) applyEvacuation(e routing.Evacuation, from string) {
 	known, ok := r.evacuations[e.Zone]
 	if ok && !e.Revision.After(known.Revision) {
 		return
 	}
 	if !ok && len(r.evacuations) >= maxEvacuations && !r.evictEnded() {
-		r.emit(Note{What: "evacuation not taken: too many zones", Subject: e.Zone, Detail: from})
+		r.emit(Note{What: "evacuation ignored: too many zones", Subject: e.Zone, Detail: from})
 		return
 	}
 	was := r.evacuated(e.Zone)
@@ -63,13 +64,13 @@
 	if was == !e.Ended {
 		return
 	}
-	r.heartbeatPending = true // others are told at once
+	r.heartbeatPending = true // send it to the other hosts at once
 	what := "zone evacuated"
 	if e.Ended {
-		what = "zone taken back"
+		what = "zone evacuation ended"
 	}
 	if _, known := r.opt.Regions[e.Zone]; !known && len(r.opt.Regions) > 0 {
-		what += ", but the settings name no such zone"
+		what += ", but the zone is not in the settings"
 	}
 	r.emit(Note{What: what, Subject: e.Zone, Detail: from + " revision " + e.Revision.String()})
 	for _, b := range r.allBackends() {
@@ -83,7 +84,7 @@
 	}
 }
 
-// evictEnded forgets the zone that was taken back first; false where all are still evacuated.
+// evictEnded forgets the evacuation that ended first. It returns false if none has ended.
 func (r *Router) evictEnded() bool {
 	var oldest *evacuation
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
@@ -98,8 +99,8 @@
 	return true
 }
 
-// endUnlisted takes back the zones that a complete listing no longer names. Where the listing is of a later era, the store may
-// have lost the request.
+// endUnlisted ends the evacuations that a complete listing no longer contains. It keeps those of an earlier era, which
+// the store may have lost.
 func (r *Router) endUnlisted(n Update) {
 	listed := map[string]bool{}
 	for _, e := range n.Evacuations {
@@ -113,7 +114,7 @@
 	}
 }
 
-// expireEvacuations takes back zones whose evacuation the store has lost for good.
+// expireEvacuations ends the evacuations that the store has lost and nobody has repeated.
 func (r *Router) expireEvacuations() {
 	era := r.updates.completeTo.Era
 	if era == 0 || len(r.evacuations) == 0 || r.now-r.updates.eraSeenAt < lostEvacuationTTL {
@@ -126,7 +127,7 @@
 	}
 }
 
-// evacuationsToSend are what beats tell: the zones that are evacuated, and those that were taken back lately.
+// evacuationsToSend returns the current evacuations and those that ended recently, for heartbeats.
 func (r *Router) evacuationsToSend() []*gossippb.Evacuation {
 	var out []*gossippb.Evacuation
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
@@ -138,7 +139,7 @@
 	return out
 }
 
-// applyEvacuations takes another host's words.
+// applyEvacuations merges the evacuations reported by another host.
 func (r *Router) applyEvacuations(from string, list []*gossippb.Evacuation) {
 	for _, e := range list {
 		r.applyEvacuation(routing.Evacuation{Zone: e.Zone, Revision: routing.Revision{Era: e.Era, Number: e.Revision}, Ended: e.Ended}, from)
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -221,7 +221,7 @@
 	// more from this host because they started recently. Excluded ones may not be used at all: they are leaving, their
 	// availability zone is evacuated, or their region may not serve the request.
 	Known, Full, Unreachable, Cold, Excluded int
-	// suspects counts those of the full ones that repeatedly fail requests.
+	// suspects counts those of the full ones that are avoided because they fail requests or cannot be reached.
 	suspects int
 }
 
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -9,27 +9,27 @@
 )
 
 const (
-	// minHostTimeout is when a host's counts are no longer added: what it had in flight has most
-	// likely ended, and a dead host's connections are closed. Three times the beat and some loss.
+	// minHostTimeout is how long a host's load still counts after its last heartbeat. By then its requests have
+	// most likely ended, as the connections of a dead host are closed. It allows for several lost heartbeats.
 	minHostTimeout = 800 * time.Millisecond
-	// hostTimeoutIntervals is the same in periods of beats, where these are long.
+	// hostTimeoutIntervals is the same in heartbeat intervals, for fleets in which these are long.
 	hostTimeoutIntervals = 3.3
-	// hostTTL is when a silent host no longer counts for shares of limits. A cut looks like a death, and a
-	// host that is only cut off still spends: once it is forgotten, each side lets a whole quota through. Regions lose
-	// each other for an hour now and then, and this is twice that. The price: after hosts are lost for good and
-	// not replaced, workspaces have their part of the quotas less for so long; with half of it, a cut of a little over
+	// hostTTL is when an unreachable host no longer counts for shares of limits. A network partition looks like a crash, but a
+	// host that is only cut off still spends: once it is forgotten, each side admits a whole quota. Regions lose
+	// contact for an hour now and then, and this is twice that. The price: after hosts are lost for good and not
+	// replaced, workspaces get less than their quotas for that long. With half the time, a partition of a little over
 	// an hour lets several times a quota through.
 	hostTTL = 2 * time.Hour
-	// contactInterval is how often seeds and silent hosts are sent a beat. It bounds how long a zone is still
-	// taken for cut off, and requests are refused beside its idle engines, when it is not any more.
+	// contactInterval is how often seeds and unreachable hosts are sent a heartbeat. It bounds how long a zone is still
+	// considered cut off, with requests refused beside its idle engines, after the network has recovered.
 	contactInterval = 250 * time.Millisecond
-	// newHostDuration is how long a host counts as just started: all that it says it has admitted is recent then.
+	// newHostDuration is how long after its start everything that a host reports as spent is taken to be recent.
 	newHostDuration = 4 * time.Second
-	// maxPriorityCount is the most that one byte of a load tells.
+	// maxPriorityCount is the highest count that fits into one byte of a packed load.
 	maxPriorityCount = 255
 )
 
-// counts are requests in flight by priority.
+// counts are numbers of requests in flight by priority.
 type counts [priorities]int
 
 func (c counts) total() int {
@@ -46,7 +46,7 @@
 	}
 }
 
-// pack puts the counts into one number, a byte each.
+// pack encodes the counts in one number, one byte each, the most urgent priority in the lowest.
 func (c counts) pack() uint32 {
 	var out uint32
 	for p, n := range c {
@@ -63,10 +63,10 @@
 	return c
 }
 
-// load is what a host or a zone carries at one backend server.
+// load is the load that a host or a zone puts on one backend server.
 type load struct {
 	counts
-	// prefillBacklog are the prompt tokens of streams that have not begun.
+	// prefillBacklog is the number of prompt tokens of streams that have not begun.
 	prefillBacklog int
 }
 
@@ -75,16 +75,15 @@
 	l.prefillBacklog += more.prefillBacklog
 }
 
-// toProto is the load as beats tell it.
 func (l load) toProto(hash uint32) *gossippb.Load {
 	return &gossippb.Load{Backend: hash, InFlight: l.pack(), Unread: uint32(min(max(0, l.prefillBacklog), maxPrefillBacklog))}
 }
 
-// maxPrefillBacklog bounds what is believed to be unread at one backend server by one word: no engine's memory
-// holds more tokens.
+// maxPrefillBacklog bounds the prefill backlog that one message may report for a backend server: no engine's memory holds
+// more tokens.
 const maxPrefillBacklog = 1 << 24
 
-// loads are by backend server, named by the hash of its id.
+// loads are by backend server, identified by backend.hash.
 type loads map[uint32]load
 
 func loadsFromProto(list []*gossippb.Load) loads {
@@ -99,13 +98,13 @@
 	return load{unpack(l.InFlight), int(min(l.Unread, maxPrefillBacklog))}
 }
 
-// member is another host as its beats show it.
+// member is another host, as known from its heartbeats.
 type member struct {
 	host        string
-	quotaKey    string // with its incarnation, as quotas count it
+	quotaKey    string // host and incarnation, under which quotas count its spending
 	zone        string
 	incarnation uint64
-	// previousIncarnation is the incarnation before, whose last datagrams may still be under way.
+	// previousIncarnation identifies the process that was replaced, whose last datagrams may still arrive.
 	previousIncarnation uint64
 	seq                 uint64
 	lastSeen            time.Duration
@@ -113,26 +112,26 @@
 	loads               loads
 	readsStore          bool
 	listsStore          bool
-	deadBackends        []uint32 // backend servers that it cannot reach
-	failingBackends     []uint32 // backend servers that fail its requests
+	deadBackends        []uint32 // hashes of backend servers that it cannot reach
+	failingBackends     []uint32 // hashes of backend servers that fail its requests
 	spent               map[string]uint64
-	// differsSince is when its news first differed from this host's; zero while they agree.
+	// differsSince is when its digest first differed from this host's; zero while they are equal.
 	differsSince time.Duration
 	unreachable  bool
-	// startedAt is its start on this host's clock.
+	// startedAt is when it started, on this host's clock.
 	startedAt time.Duration
 }
 
 type members struct {
 	byHost map[string]*member
-	order  []string // sorted, so that no order of a map decides
-	// contactAt holds when hosts that are not heard may be sent the next beat.
+	order  []string // sorted, so that no result depends on the order of a map
+	// contactAt is when each host that does not answer may be sent the next heartbeat.
 	contactAt map[string]time.Duration
-	// zoneOf are the zones of all hosts that were ever named.
+	// zoneOf are the zones of all hosts that this one has ever learned of.
 	zoneOf map[string]string
-	// otherZones are the zones of known hosts but this one's, in order.
+	// otherZones are the zones of known hosts other than this host's own, sorted.
 	otherZones []string
-	// zonePeers are the other hosts of this zone that are heard; nil where the list must be made again.
+	// zonePeers are the reachable other hosts of this zone; nil if the list must be rebuilt.
 	zonePeers []string
 }
 
@@ -140,13 +139,13 @@
 	return members{byHost: map[string]*member{}, contactAt: map[string]time.Duration{}, zoneOf: map[string]string{}}
 }
 
-// handleHeartbeat takes a beat. Beats of the incarnation before are from a process that was replaced while
-// its datagrams were under way; beats out of order carry older counts.
+// handleHeartbeat applies a heartbeat. Those of the previous incarnation come from a process that was replaced while its
+// datagrams were in transit, and those out of order hold outdated loads; both are ignored, except for pushed changes.
 func (r *Router) handleHeartbeat(b *gossippb.Beat) {
 	if b.Host == r.opt.Host || b.Host == "" {
 		return
 	}
-	r.applyPushedChanges(b.Changes) // they have revisions of their own, and go out at the pace of a small link
+	r.applyPushedChanges(b.Changes) // each change has its own revision, so order does not matter
 	m, known := r.members.byHost[b.Host]
 	if known && b.Incarnation == m.incarnation && b.Seq <= m.seq {
 		return
@@ -173,8 +172,8 @@
 			r.heartbeatPending = true // send the new host a heartbeat soon
 			r.emit(Note{What: "host joined", Subject: b.Host, Detail: b.Zone})
 		} else if r.now-m.startedAt <= newHostDuration {
-			// It may have no seed in its own zone: without this, the hosts of zones without seeds knew a few of
-			// their zone mates each, and divided quotas and engines among these.
+			// The new host may have no seed in its own zone. Without this reply, hosts of zones without seeds knew only a few
+			// of their zone peers, and divided quotas and engines among those.
 			r.emitHeartbeat([]string{b.Host}, func(reply *gossippb.Beat) { reply.Peers = r.peersFor(b.Zone) })
 		}
 	}
@@ -183,7 +182,7 @@
 	if m.unreachable {
 		m.unreachable = false
 		r.membersChanged()
-		r.emit(Note{What: "host heard again", Subject: m.host, Age: r.now - m.lastSeen})
+		r.emit(Note{What: "host reachable again", Subject: m.host, Age: r.now - m.lastSeen})
 	}
 	if m.leaving != b.Leaving {
 		r.membersChanged()
@@ -207,7 +206,7 @@
 	}
 }
 
-// learnHost notes a host that a peer names; it is greeted if this host talks to it directly.
+// learnHost records a host named by a peer. It is contacted later if this host exchanges heartbeats with it.
 func (r *Router) learnHost(host, zone string) {
 	if host == r.opt.Host || r.members.byHost[host] != nil {
 		return
@@ -226,13 +225,14 @@
 	r.addOthersLoads(m.loads, 1)
 }
 
-// applyDead takes which backend servers a host cannot reach.
+// applyDead records which backend servers a host cannot reach.
 func (r *Router) applyDead(m *member, dead []uint32) {
 	r.updateReportCounts(m.deadBackends, dead, func(b *backend) *int { return &b.unreachableReports })
 	m.deadBackends = dead
 }
 
-// updateReportCounts keeps how many hosts name a backend server, as one of them names others than before.
+// updateReportCounts adjusts, for each backend server, the number of hosts that report it, when one host's report changes
+// from was to now.
 func (r *Router) updateReportCounts(was, now []uint32, hosts func(*backend) *int) {
 	for _, hash := range was {
 		if b, ok := r.byHash[hash]; ok {
@@ -246,7 +246,7 @@
 	}
 }
 
-// countReporting counts the hosts that name a backend server among others.
+// countReporting counts the hosts whose report includes a backend server.
 func (r *Router) countReporting(hash uint32, names func(*member) []uint32) int {
 	n := 0
 	for _, h := range r.members.order {
@@ -257,7 +257,7 @@
 	return n
 }
 
-// addOthersLoads adds others' counts to the beliefs, or takes them away again.
+// addOthersLoads adds a host's reported loads to the backend servers' totals, or subtracts them if sign is -1.
 func (r *Router) addOthersLoads(l loads, sign int) {
 	for hash, what := range l {
 		b, ok := r.byHash[hash]
@@ -284,19 +284,19 @@
 	}
 }
 
-// hostTimeout is how long a host must not be heard to count as silent.
+// hostTimeout is how long after its last heartbeat a host counts as unreachable.
 func (r *Router) hostTimeout() time.Duration {
 	return max(minHostTimeout, time.Duration(hostTimeoutIntervals*float64(r.heartbeatInterval())))
 }
 
-// expireMembers stops counting what silent hosts said, and later forgets them.
+// expireMembers stops counting the loads of unreachable hosts, and forgets such hosts after hostTTL.
 func (r *Router) expireMembers() {
 	patience := r.hostTimeout()
 	for _, host := range slices.Clone(r.members.order) {
 		m := r.members.byHost[host]
 		quiet := r.now - m.lastSeen
 		if quiet > patience && !r.exchangesHeartbeats(m.zone) {
-			// A host of another zone is heard while it speaks for its zone or has requests here.
+			// A host of another zone sends heartbeats only while it is a zone reporter or has requests here.
 			r.removeMember(m)
 			continue
 		}
@@ -307,7 +307,7 @@
 			m.loads = nil
 			r.applyDead(m, nil)
 			r.applyFailing(m, nil)
-			r.emit(Note{What: "host silent", Subject: host, Age: quiet})
+			r.emit(Note{What: "host unreachable", Subject: host, Age: quiet})
 		}
 		if quiet > hostTTL || (m.unreachable && m.leaving) {
 			r.removeMember(m)
@@ -329,7 +329,7 @@
 	r.membersChanged()
 }
 
-// membersChanged makes what is computed from the hosts that live anew at its next use.
+// membersChanged invalidates what is derived from the list of reachable hosts.
 func (r *Router) membersChanged() {
 	r.members.zonePeers = nil
 	r.owners.valid = false
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -17,46 +17,47 @@
 )
 
 const (
-	// storeTimeout is how long a host that has a peer's configuration waits for the store before
-	// it takes callers.
+	// storeTimeout is how long a host that has obtained a configuration from a peer waits for the store before it becomes
+	// ready.
 	storeTimeout = 1200 * time.Millisecond
-	// pullDelay is how long a peer may know more before this host asks it: the store's own news
-	// mostly come within milliseconds, so that an earlier question would be wasted.
+	// pullDelay is how long a peer may hold newer data before this host pulls it: updates from the store mostly arrive within
+	// milliseconds, which makes an earlier pull superfluous.
 	pullDelay = 250 * time.Millisecond
-	// pullInterval spaces the questions.
+	// pullInterval is the minimum interval between pulls.
 	pullInterval = 300 * time.Millisecond
-	// fullPullInterval spaces questions to hosts that differ without knowing more.
+	// fullPullInterval is the same for pulls of everything, from hosts whose digest differs though they have nothing newer.
 	fullPullInterval = 3 * time.Second
-	// tombstoneTTL keeps the memory of removed backend servers: longer than any cut after which a
-	// peer may bring an old registration back.
+	// tombstoneTTL is how long removed backend servers are remembered: longer than any network partition after which a peer may
+	// report an outdated registration.
 	tombstoneTTL = 2 * time.Minute
-	// lapsedGracePeriod is how long a registration that lapsed around an outage of the store may still be
-	// used: a live backend server is registered again within two seconds of the store's return.
+	// lapsedGracePeriod is how long a backend server may still be used whose registration lapsed around an outage of the
+	// store: one that is alive registers again within two seconds of the store's return.
 	lapsedGracePeriod = 1800 * time.Millisecond
-	// lapseWindow is how long after the store's return removals are taken for lapses.
+	// lapseWindow is how long after the store's return removals are treated as lapses caused by the outage.
 	lapseWindow = 3 * time.Second
 )
 
+// updateState is what this host knows of the store and of the data read from it.
 type updateState struct {
 	revision routing.Revision // highest revision known
-	// completeTo is the revision up to which every change of backend servers is known, so that only
-	// later ones have to be asked for, and a registration that is older and unknown is gone.
+	// completeTo is the revision up to which every change of backend servers is known. Only later changes are pulled, and
+	// an unknown registration that is older was removed.
 	completeTo routing.Revision
-	// eraSeenAt is when complete came into its era of the store, and changes counts what changed of backend servers.
+	// eraSeenAt is when completeTo entered its era of the store. changes counts changes of backend servers.
 	eraSeenAt    time.Duration
 	changes      int
-	fingerprints uint64 // of all live registrations
+	fingerprints uint64 // sum over all live registrations and evacuations
 	synced       bool   // the store has been read since the start
 	reading      bool   // this host reads the store
 	storeTriedAt time.Duration
 	storeLost    bool
-	// failed tells that the store has failed this host since it began to read at listedAt.
-	failed          bool
+	// storeFailed is set if the store has failed this host since listedAt, when it began to read.
+	storeFailed     bool
 	listedAt        time.Duration
 	storeBackAt     time.Duration
 	pulledAt        time.Duration
-	storeAnsweredAt time.Duration // latest word of the store
-	configWithheld  bool          // the traffic side does not know the configuration yet
+	storeAnsweredAt time.Duration // time of the latest answer
+	configWithheld  bool          // the configuration has not been activated yet; see activateConfig
 }
 
 func newUpdateState() updateState {
@@ -75,8 +76,8 @@
 		r.updates.storeTriedAt = max(1, r.now)
 	}
 	if !ok {
-		r.heartbeatPending = r.heartbeatPending || r.listingStore() // those that rely on it hear at once
-		r.updates.failed = true
+		r.heartbeatPending = r.heartbeatPending || r.listingStore() // hosts that rely on this one learn of it at once
+		r.updates.storeFailed = true
 	}
 	if ok == !r.updates.storeLost {
 		return
@@ -91,9 +92,8 @@
 	r.emit(Note{What: "store does not answer"})
 }
 
-// applyUpdate merges news from anywhere. What decides is the version of the configuration and the
-// revision of each registration, so that the order in which news come does not matter and an older
-// peer or a stale read cannot take anything back.
+// applyUpdate merges an update from the store or a peer. The version of the configuration and the revision of each
+// registration decide, so updates may arrive in any order, and an outdated peer or a stale read cannot undo anything.
 func (r *Router) applyUpdate(n Update) {
 	if n.FromStore {
 		r.storeContact(true)
@@ -123,12 +123,12 @@
 	}
 }
 
-// lostBackendTTL is how long after a later era of the store is heard a backend server stays that it does not list: one that
-// lives writes again what the store has lost within two seconds of its return.
+// lostBackendTTL is how long a backend server is kept that a later era of the store does not list: one that is alive
+// registers again within two seconds of the store's return.
 const lostBackendTTL = 2500 * time.Millisecond
 
-// advanceCompleteTo notes up to which revision every change is known. Where that is of a later era, the store has come back from an older
-// copy of itself.
+// advanceCompleteTo records the revision up to which every change is known. A later era means that the store was restored
+// from an older copy of itself.
 func (r *Router) advanceCompleteTo(n Update, changed int) {
 	was := r.updates.completeTo
 	r.updates.completeTo = routing.Latest(was, n.AsOf)
@@ -136,7 +136,7 @@
 		return
 	}
 	r.updates.eraSeenAt = r.now
-	// Peers hear of the era by this, also where the copy lists no backend server.
+	// This announces the era to peers, even if the restored copy lists no backend server.
 	r.updates.revision = routing.Latest(r.updates.revision, routing.Revision{Era: r.updates.completeTo.Era})
 	if was == (routing.Revision{}) {
 		return // this host has just started
@@ -145,11 +145,11 @@
 	if n.FromStore {
 		from = "store"
 	}
-	r.emit(Note{What: "store is back from an older copy", Subject: from,
+	r.emit(Note{What: "store restored from an older copy", Subject: from,
 		Detail: fmt.Sprintf("revision %s after %s, %d backend servers changed", r.updates.completeTo, was, changed)})
 }
 
-// removeLostBackends gives up the backend servers that the store had lost and that have not registered there again.
+// removeLostBackends removes the backend servers that the store lost when it was restored and that have not registered again.
 func (r *Router) removeLostBackends() {
 	era := r.updates.completeTo.Era
 	if era == 0 || r.now-r.updates.eraSeenAt < lostBackendTTL {
@@ -163,13 +163,13 @@
 }
 
 const (
-	// maxPush is the most changes of backend servers that go into one datagram, some 2 KB.
+	// maxPush limits the changes of backend servers in one datagram, to some 2 KB.
 	maxPush = 8
-	// maxPushes bounds the datagrams of one push; who misses what is beyond asks for it.
+	// maxPushes limits the datagrams of one push; hosts pull the remaining changes.
 	maxPushes = 8
 )
 
-// pushChanges tells the zone at once what the store has just said, where few hosts read it.
+// pushChanges sends changes just read from the store to the zone peers at once, in a fleet where few hosts read it.
 func (r *Router) pushChanges(c routing.Changes) {
 	if !r.largeFleet() {
 		return
@@ -188,14 +188,14 @@
 	}
 }
 
-// applyPushedChanges merges changes that a peer pushes.
+// applyPushedChanges merges changes pushed by a peer.
 func (r *Router) applyPushedChanges(data []byte) {
 	if len(data) == 0 {
 		return
 	}
 	var list []routing.BackendChange
 	if err := json.Unmarshal(data, &list); err != nil {
-		r.emit(Note{What: "pushed changes refused", Detail: err.Error()})
+		r.emit(Note{What: "pushed changes malformed", Detail: err.Error()})
 		return
 	}
 	for _, ch := range list {
@@ -205,7 +205,7 @@
 
 func (r *Router) applyConfig(c *routing.Config) {
 	r.invariants.Check(c.Version > r.version(), "configuration goes back from %d to %d", r.version(), c.Version)
-	// Those that wait for a first configuration, or rely on this host's reading, hear of it at once.
+	// Hosts that wait for their first configuration, or rely on this host's reading, learn of it at once.
 	r.heartbeatPending = r.heartbeatPending || r.table == nil || r.updates.reading
 	r.table = routing.NewTable(c)
 	r.noteUnknownRegions(c)
@@ -215,9 +215,8 @@
 	r.activateConfig()
 }
 
-// activateConfig lets the traffic side go by the configuration. A host of a large fleet that has just started
-// waits a moment longer: its part of the quotas follows from how many hosts there are, which it does not
-// know yet.
+// activateConfig puts the configuration into force. A host of a large fleet that has just started first waits
+// up to maxStartDelay: its share of the quotas depends on the number of hosts, which it does not know yet.
 func (r *Router) activateConfig() {
 	r.updates.configWithheld = r.largeFleet() && r.now < maxStartDelay
 	if !r.updates.configWithheld {
@@ -257,7 +256,7 @@
 		listed[ch.ID] = true
 	}
 	for _, b := range r.allBackends() {
-		lost := b.revision.Era < n.AsOf.Era // by the store; see dropLost
+		lost := b.revision.Era < n.AsOf.Era // by the store; see removeLostBackends
 		if !listed[b.ID] && !b.removed && !lost && !b.revision.After(n.AsOf) {
 			r.removeBackend(b, routing.BackendChange{Revision: n.AsOf, Removed: true})
 		}
@@ -278,8 +277,8 @@
 	}
 }
 
-// allBackends are the known backend servers in order of their ids; the list is kept until one is added
-// or removed, as each beat and tick goes through it.
+// allBackends returns the known backend servers in order of ID. The list is kept until one is added or removed, as each
+// heartbeat and tick uses it.
 func (r *Router) allBackends() []*backend {
 	if r.sortedBackends == nil {
 		r.sortedBackends = slices.SortedFunc(maps.Values(r.backends), func(a, b *backend) int { return cmp.Compare(a.ID, b.ID) })
@@ -287,13 +286,13 @@
 	return r.sortedBackends
 }
 
-// invalidateBackendLists makes the lists of backend servers anew at their next use.
+// invalidateBackendLists causes the lists of backend servers to be rebuilt at their next use.
 func (r *Router) invalidateBackendLists() {
 	r.sortedBackends, r.byService, r.zoneByService, r.byZone = nil, nil, nil, nil
 	r.owners.valid = false
 }
 
-// groupBy puts backend servers into lists by what a key says of them, in their order.
+// groupBy groups backend servers by key and preserves their order.
 func groupBy(list []*backend, key func(*backend) string) map[string][]*backend {
 	out := map[string][]*backend{}
 	for _, b := range list {
@@ -306,7 +305,7 @@
 
 func zoneName(b *backend) string { return b.Zone }
 
-// backendsOf are the known backend servers of a service, in order of their ids.
+// backendsOf returns the known backend servers of a service in order of ID.
 func (r *Router) backendsOf(service string) []*backend {
 	if r.byService == nil {
 		r.byService = groupBy(r.allBackends(), serviceName)
@@ -314,7 +313,7 @@
 	return r.byService[service]
 }
 
-// backendsIn are the known backend servers of an availability zone, in order of their ids.
+// backendsIn returns the known backend servers of an availability zone in order of ID.
 func (r *Router) backendsIn(zone string) []*backend {
 	if r.byZone == nil {
 		r.byZone = groupBy(r.allBackends(), zoneName)
@@ -322,7 +321,7 @@
 	return r.byZone[zone]
 }
 
-// zoneBackendsOf are those of a service that are in this host's zone, in order of their ids.
+// zoneBackendsOf returns the backend servers of a service in this host's zone, in order of ID.
 func (r *Router) zoneBackendsOf(service string) []*backend {
 	if r.zoneByService == nil {
 		r.zoneByService = groupBy(r.backendsIn(r.opt.Zone), serviceName)
@@ -330,20 +329,20 @@
 	return r.zoneByService[service]
 }
 
-// fingerprint stands for a registration in a digest.
+// fingerprint is a registration's contribution to the digest.
 func (b *backend) fingerprint() uint64 {
 	text := binary.LittleEndian.AppendUint64([]byte(b.ID), b.revision.Number)
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64(text, b.revision.Era))
 }
 
-// versionFactor spreads versions over a digest: the golden ratio in 64 bits.
+// versionFactor spreads configuration versions over the digest: the golden ratio in 64 bits.
 const versionFactor = 0x9E3779B97F4A7C15
 
-// digest is equal on hosts that hold the same news.
+// digest is equal on hosts with the same configuration, registrations and evacuations.
 func (r *Router) digest() uint64 { return r.version()*versionFactor + r.updates.fingerprints }
 
-// compareDigests asks a peer for its news if it has held others for a while: the store may be out of
-// this host's reach, or may refuse this host alone.
+// compareDigests pulls an update from a peer whose digest has differed for a while: the store may be unreachable for
+// this host, or may refuse it alone.
 func (r *Router) compareDigests(m *member, b *gossippb.Beat) {
 	if b.Digest == r.digest() {
 		m.differsSince = 0
@@ -352,13 +351,12 @@
 	if m.differsSince == 0 {
 		m.differsSince = max(1, r.now)
 	}
-	// What is known may have gaps up to the highest revision: a push that was lost, and a later one that
-	// was not. Only up to complete there are none.
+	// There may be gaps between completeTo and the highest revision, if a push was lost and a later one arrived.
 	newer := b.ConfigVersion > r.version() || routing.Revision{Era: b.Era, Number: b.Revision}.After(r.updates.completeTo)
 	wait, every := pullDelay, pullInterval
 	since := Since{Revision: r.updates.completeTo, Version: r.version()}
 	if !newer {
-		// Something was missed on the way, so that what is known is less than it seems: ask for all.
+		// Some change was missed before completeTo: pull everything.
 		wait, every, since = fullPullInterval, fullPullInterval, Since{}
 	}
 	if r.table == nil {
@@ -371,8 +369,8 @@
 	r.emit(Pull{m.host, since})
 }
 
-// Snapshot is what this host knows beyond what a peer that asks has already. At 3,000 backend servers
-// the whole is most of a megabyte, which a hundred hosts that ask at once cannot send in time.
+// Snapshot returns what this host knows beyond what the pulling host has already. At 3,000 backend servers the whole is
+// most of a megabyte, which cannot be sent in time to a hundred hosts that pull at once.
 func (r *Router) Snapshot(since Since) Update {
 	n := Update{Revision: r.updates.revision, After: since.Revision, AsOf: r.updates.completeTo}
 	if r.table != nil && r.version() > since.Version {
@@ -385,9 +383,9 @@
 		if !b.revision.After(since.Revision) {
 			continue
 		}
-		told := b.Backend
-		told.Cold = max(0, b.warming.until-r.now)
-		n.Backends = append(n.Backends, routing.BackendChange{Backend: told, Revision: b.revision, Removed: b.removed})
+		registration := b.Backend
+		registration.Cold = max(0, b.warming.until-r.now)
+		n.Backends = append(n.Backends, routing.BackendChange{Backend: registration, Revision: b.revision, Removed: b.removed})
 	}
 	return n
 }
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// maxZonePeers bounds the hosts of its own zone that a host hears of from another zone: enough that each
-	// hears of a few that live, who tell it of the rest. introducedFar is the same for further zones.
+	// maxZonePeers limits the hosts of its own zone that a host learns of from another zone: enough to include a few
+	// that are alive and name the rest. maxFarZonePeers is the same for each further zone.
 	maxZonePeers    = 16
 	maxFarZonePeers = 2
 )
 
-// peersFor are some hosts of another zone, for those who have just started there and have no seed among
-// them, and a few of each further zone, so that these two speak to each other.
+// peersFor returns some hosts of the zone to, for hosts that have just started there and have no seed among
+// them, and a few hosts of each further zone, so that those two zones contact each other.
 func (r *Router) peersFor(to string) []*gossippb.Peer {
 	byZone := map[string][]string{}
 	for h, z := range r.members.zoneOf {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// samplePeers names at most so many hosts of a zone, drawn at random.
+// samplePeers returns at most so many hosts of a zone, chosen at random.
 func (r *Router) samplePeers(zone string, hosts []string, most int) []*gossippb.Peer {
 	slices.Sort(hosts)
 	var out []*gossippb.Peer
@@ -39,7 +39,7 @@
 	return out
 }
 
-// sample are at most so many of a list, from a random one on.
+// sample returns at most so many consecutive elements of a list, from a random one on.
 func (r *Router) sample(list []string, most int) []string {
 	var out []string
 	at := r.rng.IntN(max(1, len(list)))
@@ -49,8 +49,8 @@
 	return out
 }
 
-// peersToName are the hosts to name: in a large fleet its zone's while some of them are new, later a few at
-// random. A seed that named all that greet it would have its link full for seconds after a start of all.
+// peersToName returns the hosts to name in a heartbeat: in a large fleet those of its zone while some of them are new, later
+// a few at random. If a seed named all hosts that contact it, its link would be saturated for seconds when all start at once.
 func (r *Router) peersToName() []string {
 	all := r.members.order
 	switch {
@@ -62,7 +62,7 @@
 	return r.sample(all, maxNamedPeers)
 }
 
-// knownPeers names the hosts of this zone that are heard, and some of the others.
+// knownPeers returns the peers to name in a heartbeat, including some of other zones in a large fleet.
 func (r *Router) knownPeers() []*gossippb.Peer {
 	var out []*gossippb.Peer
 	for _, h := range r.peersToName() {
@@ -81,8 +81,8 @@
 	return out
 }
 
-// summaryTargets are hosts of another zone to send sums to: those that speak from there, as they live,
-// and some others while too few speak.
+// summaryTargets returns the hosts of another zone that summaries are sent to: its reporters, as they are known to be alive,
+// and random others if there are too few.
 func (r *Router) summaryTargets(zone string) []string {
 	var out, rest []string
 	for h, z := range r.members.zoneOf {
--- a/internal/router/reading.go
+++ b/internal/router/reading.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	// readersPerZone are the hosts of a zone that read the platform's store, where zones relay.
+	// readersPerZone is the number of hosts of a zone that read the platform's store in a large fleet.
 	readersPerZone = 3
-	// minReaders of the other hosts of a zone must be in contact with the store for a host to rely
-	// on them, and readAlone is how long it waits for them. With contactFresh, a zone whose readers
-	// are all cut off from the store at once hears of a change within three seconds.
+	// minReaders is the number of other hosts of the zone that must be in contact with the store for a host to rely
+	// on them, and readersTimeout how long it waits for them. With storeContactTTL, a zone whose readers
+	// all lose the store at once learns of a change within three seconds.
 	minReaders     = 2
 	readersTimeout = 400 * time.Millisecond
-	// maxListingDuration is how long a host that lists the store counts as one that is about to be in contact.
+	// maxListingDuration is how long a host that is listing the store counts as about to be in contact with it.
 	maxListingDuration = 2 * time.Second
-	// storeContactTTL is how old the store's latest answer may be for a host to count as in contact: a
-	// watch that hears nothing is answered sooner.
+	// storeContactTTL is how long after the store's latest answer a host counts as in contact with it: a
+	// watch without changes is answered sooner.
 	storeContactTTL = 2200 * time.Millisecond
-	// maxStartDelay is how long a starting host listens for peers at most before it reads the store: where
-	// there are many, they have the news already.
+	// maxStartDelay is the longest time that a starting host waits for peers before it reads the store: if there are many,
+	// they have the data already.
 	maxStartDelay = 250 * time.Millisecond
 )
 
-// firstRead draws when a starting host reads the store. Where all hosts start together, as after a loss of
-// power, somebody has to read first, and all others get the news from it: a host that is named as a seed
-// reads at once, as everybody greets it, and the others wait for it at unlike times. Before, all waited
-// startWait, and refused a quarter of a second's requests for want of a configuration. The root makes early
-// reads rare in a fleet of hundreds whose seeds are down.
+// firstRead chooses when a starting host reads the store. If all hosts start together, as after a power
+// failure, some must read first and the others get the data from them: a seed reads at once, as all
+// hosts contact it, and the others wait for a random time. When all waited maxStartDelay, requests of a quarter of a
+// second were refused for lack of a configuration. The square root makes early reads rare in a fleet of hundreds whose
+// seeds are down.
 func (r *Router) firstRead() time.Duration {
 	if slices.Contains(r.opt.Seeds, r.opt.Host) {
 		return 0
@@ -36,10 +36,10 @@
 	return time.Duration(math.Sqrt(r.rng.Float64()) * float64(maxStartDelay))
 }
 
-// updateReading turns the reading of the store on or off: on everywhere in a small fleet; in a large
-// one on the first hosts of each zone. Where too few of these are in contact with the store, or about to be, as they may be
-// cut off from it, several times as many read after each readAlone: all hosts of a large zone that listed the store at once
-// cost more than the readers do in a day.
+// updateReading turns reading of the store on or off: on everywhere in a small fleet; in a large one on the hosts with
+// that role in each zone. If too few of these are in contact with the store, or about to be, they may be cut off from it, and
+// readerGrowth times as many read after each readersTimeout. Not all at once: if all hosts of a large zone listed the store
+// together, it would cost more than the readers do in a day.
 func (r *Router) updateReading() {
 	if !r.zones.readingDecided && r.now < r.zones.firstRead {
 		return
@@ -66,7 +66,7 @@
 		return
 	}
 	if on && !r.updates.reading {
-		r.updates.listedAt, r.updates.failed = r.now, false
+		r.updates.listedAt, r.updates.storeFailed = r.now, false
 	}
 	r.zones.readingDecided = true
 	r.zones.shared = shared
@@ -78,7 +78,7 @@
 	r.emit(Note{What: "reads the store", Detail: onOff(on)})
 }
 
-// readerCount is how many hosts of the zone read the store by now.
+// readerCount is the number of hosts of the zone that should read the store now.
 func (r *Router) readerCount() int {
 	n := readersPerZone
 	for rounds := (r.now - r.zones.readersSeenAt) / readersTimeout; rounds > 0 && n < maxReaders; rounds-- {
@@ -88,18 +88,18 @@
 }
 
 const (
-	// readerGrowth is how many times more hosts read after each readAlone, and maxReaders more than any zone has. With twice as
-	// many a zone whose next readers are cut off too would wait for seconds.
+	// readerGrowth is the factor by which readers increase after each readersTimeout, and maxReaders exceeds the size of any
+	// zone. With a factor of two, a zone whose next readers are cut off too would wait for seconds.
 	readerGrowth = 8
 	maxReaders   = 1 << 12
 )
 
-// listingStore tells that this host has begun to read the store, which has neither answered nor failed yet.
+// listingStore reports whether this host has begun to read the store and awaits its first answer.
 func (r *Router) listingStore() bool {
-	return r.updates.reading && r.updates.storeLost && !r.updates.failed && r.now-r.updates.listedAt < maxListingDuration
+	return r.updates.reading && r.updates.storeLost && !r.updates.storeFailed && r.now-r.updates.listedAt < maxListingDuration
 }
 
-// storeAnswers tells whether the store has lately answered this host.
+// storeAnswers reports whether the store has answered this host within storeContactTTL.
 func (r *Router) storeAnswers() bool {
 	return r.updates.reading && !r.updates.storeLost && r.now-r.updates.storeAnsweredAt < storeContactTTL
 }
--- a/internal/router/regions.go
+++ b/internal/router/regions.go
@@ -6,8 +6,8 @@
 	"fireflyshift/internal/routing"
 )
 
-// mayServe tells whether a request may be served in an availability zone: route and workspace may each name the only regions
-// for it, and both bind.
+// mayServe reports whether a request may be served in an availability zone. Route and workspace may each list the allowed
+// regions, and both lists apply.
 func (r *Router) mayServe(route *routing.Route, w *routing.Workspace, zone string) bool {
 	if len(route.Regions) == 0 && (w == nil || len(w.Regions) == 0) {
 		return true
@@ -20,8 +20,8 @@
 	return len(regions) == 0 || (region != "" && slices.Contains(regions, region))
 }
 
-// noteUnknownRegions tells the log which regions of a configuration no availability zone is in: what names only these is
-// refused.
+// noteUnknownRegions logs the regions of a configuration that no availability zone belongs to. Requests that allow only these
+// are refused.
 func (r *Router) noteUnknownRegions(c *routing.Config) {
 	known := map[string]bool{}
 	for _, region := range r.opt.Regions {
@@ -30,7 +30,7 @@
 	note := func(what string, regions []string) {
 		for _, region := range regions {
 			if !known[region] {
-				known[region] = true // once
+				known[region] = true // log it once
 				r.emit(Note{What: "region is unknown", Subject: region, Detail: what})
 			}
 		}
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -7,10 +7,10 @@
 	"fireflyshift/internal/routing"
 )
 
-// applyBackendChange merges one change. Changes come in any order, from the store and from peers. The latest
-// start of a backend server wins, and of one start the highest revision: the store may still take a write
-// of the earlier start after the first one of the new, and that must neither bring the earlier one back
-// nor hide the new one. A removal stands against every change before it.
+// applyBackendChange merges one change. Changes arrive in any order, from the store and from peers. The latest
+// start of a backend server wins, and within a start the highest revision: the store may still accept a write
+// of the earlier start after the first one of the new start, which must neither restore the earlier start
+// nor hide the new one. A removal overrides every change before it.
 func (r *Router) applyBackendChange(ch routing.BackendChange) {
 	b, known := r.backends[ch.ID]
 	switch {
@@ -21,14 +21,14 @@
 			r.removeBackend(b, ch)
 		}
 	case !ch.Revision.After(b.removedRevision):
-		// A removal came later than this.
+		// A later removal overrides this change.
 	case ch.Start == 0 && b.Start > 0:
-		// A start that is known by its moment always tells it: something else has written.
+		// A backend server that has once registered with a start always does: another program has written this.
 		if ch.Revision.After(b.revision) {
 			r.removeBackend(b, routing.BackendChange{Revision: ch.Revision, Removed: true, Foreign: true})
 		}
 	case ch.Start > b.Start && b.Start == 0 && b.revision.After(ch.Revision):
-		// The same the other way round: what is known was written by something else, later.
+		// The same in reverse order: the known registration was written by another program, later.
 		r.removeBackend(b, routing.BackendChange{Revision: b.revision, Removed: true, Foreign: true})
 		r.setStart(b, ch.Start)
 	case ch.Start > b.Start:
@@ -40,15 +40,15 @@
 	}
 }
 
-// isStaleCopy tells whether a registration that comes with a later era of the store is the one that was there before the
-// backend server went: the store has come back from a copy that is older than its going, which is no word of its being
-// back. A backend server that lives writes anew, and gets another number.
+// isStaleCopy reports whether a registration from a later era of the store is the one that was known before the
+// backend server was removed. The store was then restored from a copy made before the removal, which is no sign that the
+// server is back: one that is alive registers anew, under another revision.
 func (r *Router) isStaleCopy(b *backend, ch routing.BackendChange) bool {
 	wentBefore := b.removed && ch.Revision.Era > b.removedRevision.Era
 	return wentBefore && ch.Revision.Number == b.registeredRevision.Number
 }
 
-// setStart notes which start of a backend server is known, so that others' words of it are found.
+// setStart records which start of a backend server is registered, so that other hosts' reports on it are matched.
 func (r *Router) setStart(b *backend, start uint64) {
 	delete(r.byHash, b.hash)
 	b.Start = start
@@ -56,26 +56,26 @@
 	r.indexBackend(b)
 }
 
-// indexBackend finds a backend server by its name in beats from now on, and takes what others have told of it.
+// indexBackend makes a backend server known by its hash in messages, and adds what others have reported of it.
 func (r *Router) indexBackend(b *backend) {
 	r.byHash[b.hash] = b
 	b.othersLoad, b.unreachableReports, b.failingReports = r.othersLoadAt(b.hash), r.unreachableReportsFor(b.hash), r.countFailingReports(b.hash)
 }
 
-// addUnknown takes a backend server that was not known.
+// addUnknown adds a backend server that was not known.
 func (r *Router) addUnknown(ch routing.BackendChange) {
 	if ch.Removed {
 		return
 	}
 	r.updates.revision = routing.Latest(r.updates.revision, ch.Revision)
 	if !ch.Revision.After(r.updates.completeTo) {
-		return // it was removed since; whoever tells of it has not heard
+		return // it has been removed since; the sender does not know yet
 	}
 	r.emit(Note{What: "backend server joined", Subject: ch.ID, Detail: describe(ch.Backend)})
 	r.addBackend(ch)
 }
 
-// describe is what logs say of a backend server that joins.
+// describe formats a registration for logs.
 func describe(b routing.Backend) string {
 	return fmt.Sprintf("%s %s slots=%d", b.Service, b.Addr, b.Slots)
 }
@@ -91,13 +91,13 @@
 	b.evacuated = r.evacuated(b.Zone)
 	r.setCold(b, ch.Cold, "registration")
 	if s := r.serviceConfig(b); s != nil && s.Model && !b.Model {
-		r.emit(Note{What: "backend server is no model engine", Subject: b.ID, Detail: b.Service})
+		r.emit(Note{What: "backend server is not a model engine", Subject: b.ID, Detail: b.Service})
 	}
 }
 
-// replaceStart replaces a backend server by its next start under the same ID. Nothing that was learned of the
-// earlier start holds for it. Calls that were sent to the earlier one are broken off: where it fell silent
-// they would wait for an answer that never comes, and whether they ran is unknown.
+// replaceStart replaces a backend server by its next start under the same ID. Nothing learned about the
+// earlier start applies to it. Requests sent to the earlier start are aborted: if it stopped without closing its
+// connections they would wait for an answer that never comes, and whether they ran is unknown.
 func (r *Router) replaceStart(b *backend, ch routing.BackendChange) {
 	r.updates.revision = routing.Latest(r.updates.revision, ch.Revision)
 	r.emit(Note{What: "backend server started again", Subject: b.ID, Detail: describe(ch.Backend)})
@@ -111,7 +111,7 @@
 	r.abortRequests(b)
 }
 
-// abortRequests ends the calls that are under way at a backend server, in order of their requests.
+// abortRequests aborts the requests in flight at a backend server, in order of their IDs.
 func (r *Router) abortRequests(b *backend) {
 	var ids []uint64
 	for id, q := range r.requests {
@@ -125,19 +125,19 @@
 	}
 }
 
-// updateBackend takes a newer registration of the same start.
+// updateBackend applies a newer registration of the same start.
 func (r *Router) updateBackend(b *backend, ch routing.BackendChange) {
 	r.updates.revision = routing.Latest(r.updates.revision, ch.Revision)
 	if b.Draining && !ch.Draining && ch.Revision.Era > b.revision.Era {
-		// The store's copy is older than what this host has heard from it: no evidence against that.
+		// The store was restored from a copy that is older than the announcement, which therefore still holds.
 		r.markLeaving(b, "store")
 	}
 	if ch.Draining && !b.Draining {
 		r.emit(Note{What: "backend server drains", Subject: ch.ID, Detail: ch.Service})
 	}
 	if b.removed {
-		b.exited = false // its registration had only lapsed
-		r.emit(Note{What: "backend server back", Subject: b.ID, Detail: describe(ch.Backend), Age: r.now - b.removedAt})
+		b.exited = false // the registration had merely lapsed
+		r.emit(Note{What: "backend server registered again", Subject: b.ID, Detail: describe(ch.Backend), Age: r.now - b.removedAt})
 	}
 	r.dropFingerprint(b)
 	moved := b.Service != ch.Service || b.Zone != ch.Zone
@@ -161,9 +161,9 @@
 	}
 }
 
-// removeBackend marks a registration as gone. One that lapsed while the store was away is usable a little
-// longer: the backend server mostly lives and is about to register again. One that another program has
-// overwritten is not: nothing there says that it lives.
+// removeBackend marks a registration as removed. If it lapsed during an outage of the store, the backend server stays usable a
+// little longer: mostly it is alive and about to register again. One overwritten by another program does not, as nothing shows
+// that it is alive.
 func (r *Router) removeBackend(b *backend, ch routing.BackendChange) {
 	r.dropFingerprint(b)
 	b.revision, b.removedRevision = ch.Revision, ch.Revision
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,14 +1,14 @@
-// Package router is the reducer of a host on the platform's path: every event goes in, effects come
-// out as data. In a small fleet each host decides alone where its requests go, from beliefs that hosts
-// spread in heartbeats, and no message is exchanged for a request. In a large one a host asks the owner of
-// some backend servers for a place, and decides alone where that does not answer. There is no I/O, clock,
-// goroutine or unseeded choice inside.
+// Package router is the state machine of one host: events go in, effects come out as data. It does no I/O, reads no
+// clock, starts no goroutine and makes no unseeded choice. In a small fleet each host decides alone where its requests
+// go, from the loads that hosts report in heartbeats, and exchanges no message per request. In a large fleet a host
+// requests a slot from the host that owns the backend server, and decides alone if the owner does not answer.
 //
-// One file is one concern: members (who else is there), news (configuration and backend servers), backends
-// (what is believed of each), zones (sums between availability zones), peers (which hosts are named to
-// others), reading (who reads the store), evacuations, cold, failing and regions (why a backend server gets no or few
-// requests), place (where a request goes), owners (who is asked), ask (questions for a place), grant (answers to them),
-// quotas (who decides over a workspace's), requests (their lives), beats.
+// Each file covers one concern: members (other hosts), news (updates of configuration and backend servers),
+// registrations and backends (state of each backend server), zones (summaries between availability zones), peers (peer
+// exchange), reading (which hosts read the store), beats (heartbeats), requests (life cycle of a request), place (choice of
+// a backend server), owners (which host owns which backend server), ask and grant (slot requests and their answers),
+// quotas (quota owners), and cold, failing, evacuations, regions and said (reasons to send a backend server few requests
+// or none).
 package router
 
 import (
@@ -20,11 +20,11 @@
 	"fireflyshift/internal/routing"
 )
 
-// Bounds are the operators' figures that hosts keep together.
+// Bounds are the limits, set by operators, that all hosts keep together.
 type Bounds struct {
 	RetryRatio  float64
 	RetryWindow time.Duration
-	RetryExtra  float64 // repeats beyond the ratio, over all hosts, a window
+	RetryExtra  float64 // retries allowed beyond the ratio, over all hosts, per window
 	QuotaWindow time.Duration
 	QuotaOver   float64
 	QuotaSlack  float64
@@ -33,18 +33,18 @@
 	ColdSlack float64
 }
 
-// Options are the fixed settings of a reducer.
+// Options are the settings of a Router that do not change.
 type Options struct {
-	Host        string // IP number
+	Host        string // IP address
 	Zone        string
-	Regions     map[string]string // of availability zones
+	Regions     map[string]string // by availability zone
 	Incarnation uint64
 	Seeds       []string
 	Bounds      Bounds
 	Seed        uint64
 }
 
-// Router is the state of one host. Only one goroutine may use it.
+// Router is the state of one host. It is not safe for concurrent use.
 type Router struct {
 	opt        Options
 	now        time.Duration
@@ -56,40 +56,40 @@
 	updates    updateState
 	backends   map[string]*backend
 	byHash     map[uint32]*backend
-	// tombstones are the backends whose registration is gone, and warming those that are cold, by id.
+	// tombstones are the backend servers whose registration was removed, warming the cold ones; both by ID.
 	tombstones map[string]*backend
 	warming    map[string]*backend
-	// sortedBackends are the backends in order of their ids; nil where it must be made again.
+	// sortedBackends are the backend servers in order of ID; nil if the list must be rebuilt.
 	sortedBackends []*backend
-	// byService are the backends by service, in order, inZone those of this host's zone, and byZone all by zone; nil
-	// where they must be made again.
+	// byService groups sortedBackends by service, byZone by zone, and zoneByService those of this host's zone by service;
+	// nil if they must be rebuilt.
 	byService     map[string][]*backend
 	zoneByService map[string][]*backend
 	byZone        map[string][]*backend
 	owners        ownerState
-	// slotRequests are the questions to owners for places.
+	// slotRequests are the requests to owners that await an answer.
 	slotRequests ownerCalls[*slotRequest]
-	// maintenanceAt is when a large fleet's lists are next gone through.
+	// maintenanceAt is when runMaintenance is next due in a large fleet.
 	maintenanceAt time.Duration
 	zones         zoneState
 	services      map[string]*service
 	requests      map[uint64]*request
-	// candidates is where decisions gather them, kept so that none allocates.
+	// candidates is scratch space for choosing a backend server, kept to avoid allocations.
 	candidates [numClasses][]candidate
 	quotas     map[string]*limit.Quota
 	limits     quotaState
-	// sortedQuotas are the names of quotas, nil where the list must be made again; toldSpent is what beats
-	// last told of each, and spentTold counts them.
+	// sortedQuotas are the names of the workspaces with quotas; nil if the list must be rebuilt. reportedSpent is the amount
+	// last sent for each in a heartbeat, and spentReports counts those heartbeats.
 	sortedQuotas  []string
 	reportedSpent map[string]uint64
 	spentReports  int
 	heartbeatAt   time.Duration
-	// quotaLowUntil is until when some quota is taken to be near its end; beats then go out at tightAt already.
+	// quotaLowUntil is until when some quota is taken to be nearly exhausted; heartbeats are then due at quotaLowHeartbeatAt.
 	quotaLowUntil       time.Duration
 	quotaLowHeartbeatAt time.Duration
 	seq                 uint64
-	// heartbeatPending tells that this host carries something else than its last beat said; it is told from
-	// changeAt on.
+	// heartbeatPending is set if something that others should learn soon has changed since the last heartbeat; the next one is
+	// then sent from earlyHeartbeatAt on.
 	heartbeatPending bool
 	earlyHeartbeatAt time.Duration
 	drain            *Drain
@@ -98,7 +98,7 @@
 	evacuations map[string]*evacuation
 }
 
-// New returns a reducer in its first state: no configuration, no peers.
+// New returns a Router with no configuration and no peers.
 func New(opt Options) *Router {
 	r := &Router{
 		opt:           opt,
@@ -124,8 +124,8 @@
 	return r
 }
 
-// Reduce takes one event at a moment of the host's boot-time clock, which goes on while the machine
-// is suspended, and returns the work to do.
+// Reduce applies one event at now, on the host's boot-time clock, which continues while the machine is suspended. It
+// returns the effects to carry out.
 func (r *Router) Reduce(now time.Duration, ev Event) []Effect {
 	r.now = max(r.now, now)
 	switch e := ev.(type) {
@@ -180,7 +180,7 @@
 	return out
 }
 
-// applySettings takes changed settings; limits go on with the new bounds from what is spent.
+// applySettings applies changed settings. Quotas keep what has been spent; retry budgets start anew.
 func (r *Router) applySettings(e SettingsChanged) {
 	r.opt.Seeds = e.Seeds
 	if e.Bounds == r.opt.Bounds {
@@ -202,8 +202,8 @@
 
 func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// maintenanceInterval is how often a host of a large fleet goes through its lists of hosts and backend servers. What
-// expires there does so after half a second or more, so that a tenth later is early enough.
+// maintenanceInterval is the interval between two runs of runMaintenance in a large fleet. Everything that expires there does so
+// after half a second or more, so a delay of a tenth of a second does no harm.
 const maintenanceInterval = 100 * time.Millisecond
 
 func (r *Router) tick() {
@@ -226,7 +226,7 @@
 	}
 }
 
-// runMaintenance are what time does to lists.
+// runMaintenance expires outdated state and decides whether this host reads the store.
 func (r *Router) runMaintenance() {
 	r.expireMembers()
 	r.expireZones()
@@ -238,14 +238,14 @@
 	r.updateReading()
 }
 
-// Violations takes the invariant violations since the last call.
+// Violations returns and clears the invariant violations recorded since the last call.
 func (r *Router) Violations() []string { return r.invariants.Take() }
 
-// Table is the configuration in force, or nil.
+// Table returns the configuration in force, or nil if there is none yet.
 func (r *Router) Table() *routing.Table { return r.table }
 
-// Ready tells whether the balancer should send callers here: the configuration is known from the
-// store, or from a peer while the store does not answer, and the host is not shutting down.
+// Ready reports whether the load balancer should send callers to this host: it has a configuration, read from the store or
+// obtained from a peer while the store does not answer, and is not shutting down.
 func (r *Router) Ready() bool {
 	if r.table == nil || r.drain != nil || r.updates.configWithheld {
 		return false
--- a/internal/router/said.go
+++ b/internal/router/said.go
@@ -5,17 +5,17 @@
 )
 
 const (
-	// maxHoldOff bounds a time to stay away: a server that names a year has mostly started again by then, under another ID.
+	// maxHoldOff limits a requested hold-off: a server that asks for a year has most likely restarted under another ID by then.
 	maxHoldOff = 24 * time.Hour
-	// holdOffJitter is the part of that time, and awaySpreadMost the longest, by which hosts come back at unlike moments, so that a
-	// server which has just recovered is not met by all of them at once.
+	// holdOffJitter is the fraction of the hold-off, and maxHoldOffJitter the longest time, that is added at random, so that
+	// a server that has just recovered does not get the requests of all hosts at the same moment.
 	holdOffJitter    = 0.25
 	maxHoldOffJitter = time.Second
 )
 
-// handleAnnouncement takes what a backend server says of itself in an answer. Its registration may say otherwise for long: it is written
-// through the store, which may be away, and read later. So what was heard holds for that start of the server, whatever a
-// registration of it says afterwards.
+// handleAnnouncement applies what a backend server has announced in an answer. Its registration may disagree for a long time: it
+// is written through the store, which may be unavailable, and is read later. So the announcement holds for that start of the
+// server, whatever a registration of it contains afterwards.
 func (r *Router) handleAnnouncement(e BackendAnnouncement) {
 	b, ok := r.backends[e.ID]
 	if !ok || b.Start != e.Start {
@@ -30,17 +30,17 @@
 	}
 }
 
-// markLeaving notes that a backend server leaves, by the word of a host that has heard it.
+// markLeaving records that a backend server is about to shut down, as reported by the host that received the announcement.
 func (r *Router) markLeaving(b *backend, by string) {
 	if b.leaving {
 		return
 	}
 	b.leaving = true
-	r.heartbeatPending = true // others are told at once: it ends soon, with what they still send there
-	r.emit(Note{What: "backend server says that it leaves", Subject: b.ID, Detail: by})
+	r.heartbeatPending = true // others must learn at once: the server exits soon, along with the requests they still send there
+	r.emit(Note{What: "backend server announces that it is leaving", Subject: b.ID, Detail: by})
 }
 
-// holdOff keeps this host's requests from a backend server that wants none for a time. Afterwards it gets one at a time until
+// holdOff keeps this host's requests from a backend server for a time. Afterwards it gets one request at a time until
 // it answers.
 func (r *Router) holdOff(b *backend, d time.Duration) {
 	jitter := time.Duration(r.rng.Float64() * min(holdOffJitter*float64(d), float64(maxHoldOffJitter)))
@@ -50,15 +50,15 @@
 	}
 	b.holdOffUntil = until
 	b.avoidUntil = max(b.avoidUntil, until)
-	r.emit(Note{What: "backend server wants nothing for a time", Subject: b.ID, Detail: d.String()})
+	r.emit(Note{What: "backend server requests hold-off", Subject: b.ID, Detail: d.String()})
 }
 
-// ownLeaving are the backend servers that have told this host that they leave.
+// ownLeaving returns the backend servers that have announced to this host that they are leaving.
 func (r *Router) ownLeaving() []uint32 {
 	return r.leavingOf(func(b *backend) bool { return b.announcedLeaving })
 }
 
-// zoneLeaving are those that this host knows of at all, for other zones.
+// zoneLeaving returns all backend servers that this host knows to be leaving, for other zones.
 func (r *Router) zoneLeaving() []uint32 {
 	return r.leavingOf(func(b *backend) bool { return b.leaving })
 }
@@ -67,7 +67,7 @@
 	return r.hashesOf(func(b *backend) bool { return match(b) && !b.replaced })
 }
 
-// applyLeaving takes another host's word of backend servers that leave.
+// applyLeaving merges another host's report of backend servers that are leaving.
 func (r *Router) applyLeaving(from string, hashes []uint32) {
 	for _, hash := range hashes {
 		if b, ok := r.byHash[hash]; ok {
@@ -76,8 +76,7 @@
 	}
 }
 
-// holdOffEnd is when the first backend server of a service that wants nothing for a time may be asked again; zero where there is
-// none.
+// holdOffEnd returns the earliest end of a hold-off among the backend servers of a service, or zero if none holds off.
 func (r *Router) holdOffEnd(service string) time.Duration {
 	var at time.Duration
 	for _, b := range r.backendsOf(service) {
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// defaultEventInterval, unknownRead and unknownEvents stand for a service's time between events, time to read a
-	// prompt token and length of a stream until any has been observed.
+	// defaultEventInterval, defaultPrefillPerToken and defaultStreamLength are used for a service until values have been
+	// observed. The stream length is in events.
 	defaultEventInterval   = 20 * time.Millisecond
 	defaultPrefillPerToken = 20 * time.Microsecond
 	defaultStreamLength    = 30
-	// streamLengthRate is the weight of a stream's length: lengths differ a hundredfold.
+	// streamLengthRate is the weight of a new stream's length. It is small because lengths differ a hundredfold.
 	streamLengthRate = 0.02
 )
 
-// service is what this host believes of one service as a whole.
+// service is what this host has learned about one service as a whole.
 type service struct {
 	// eventInterval is the learned mean of its backend servers' intervals.
 	eventInterval time.Duration
-	// prefillPerToken is the learned time to prefillPerToken a prompt token, and events the learned length of a stream.
+	// prefillPerToken is the learned time to prefill one prompt token, and streamLength the learned number of events of a stream.
 	prefillPerToken time.Duration
 	streamLength    float64
 	budget          *limit.Budget
 }
 
-// serviceState finds what is believed of a service, which may be nothing yet.
+// serviceState returns the state of a service and creates it if necessary.
 func (r *Router) serviceState(name string) *service {
 	s, ok := r.services[name]
 	if !ok {
@@ -46,7 +46,7 @@
 	s.prefillPerToken = smoothPrefillTime(s.prefillPerToken, read)
 }
 
-// learnStreamLength learns the length of a stream; zero is no stream.
+// learnStreamLength adds the number of events of a stream; zero means that it was none.
 func (s *service) learnStreamLength(events int) {
 	if events > 0 {
 		s.streamLength = s.expectedStreamLength() + streamLengthRate*(float64(events)-s.expectedStreamLength())
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// View is what operators see of a reducer.
+// View is a host's state as shown to operators.
 type View struct {
 	Version    uint64
 	Era        uint64 // of the store
@@ -11,42 +11,42 @@
 	Draining   bool
 	Reading    bool
 	StoreOK    bool
-	StoreAge   time.Duration // since the latest word of the store; negative where there is none
+	StoreAge   time.Duration // since the store's latest answer; negative if there was none
 	Requests   int
 	Violations int
 	Now        time.Duration
 	Peers      []PeerView
 	Backends   []BackendView
-	// Quarantined are the requests that are kept from backend servers, Suspects how many are remembered.
+	// Quarantined are the requests withheld from backend servers. Suspects is the number of requests that are remembered.
 	Quarantined []QuarantineView
 	Suspects    int
 }
 
-// QuarantineView is a request that is kept from backend servers.
+// QuarantineView is a request withheld from backend servers.
 type QuarantineView struct {
 	Digest, Workspace string
-	Ends              int           // that it explains, as far as they are remembered
+	Ends              int           // remembered crashes of backend servers attributed to it
 	Age               time.Duration // since the latest of them
-	TrialIn           time.Duration // until it may run once to show that it does no harm
+	TrialIn           time.Duration // until it may run once as a trial
 }
 
-// PeerView is another host as this one sees it.
+// PeerView is another host as known to this one.
 type PeerView struct {
 	Host, Zone string
 	Reachable  bool
 	Age        time.Duration
 }
 
-// BackendView is what is believed of one backend server.
+// BackendView is a backend server as known to this host.
 type BackendView struct {
 	ID, Service, Zone, Addr string
 	State                   string
-	Owner                   string // the host that is asked for places there; empty where none is
+	Owner                   string // the host that grants its slots; empty if there is none
 	Own, Others, Slots      int
 	Interval                time.Duration
 }
 
-// View gathers what operators see.
+// View returns the current state for operators.
 func (r *Router) View() View {
 	v := View{Version: r.version(), Era: r.updates.completeTo.Era, Digest: r.digest(), Ready: r.Ready(), Draining: r.drain != nil, Reading: r.updates.reading,
 		StoreOK: !r.updates.storeLost, StoreAge: -1, Requests: len(r.requests), Violations: r.invariants.Total(), Now: r.now}
@@ -68,7 +68,7 @@
 	return v
 }
 
-// state words what is believed of a backend server.
+// state describes the state of a backend server for operators.
 func (b *backend) state(now time.Duration) string {
 	if why := b.excluded(now); why != notExcluded {
 		return string(why)
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -11,60 +11,62 @@
 )
 
 const (
-	// maxFullMesh is the most hosts that all talk to each other. Above it beats go to the own zone
-	// only, and sums go between zones, where bytes are dear.
+	// maxFullMesh is the largest fleet in which all hosts exchange heartbeats. In larger ones heartbeats stay within a zone, and
+	// summaries go between zones, where bandwidth is expensive.
 	maxFullMesh = 16
-	// zoneReporters are the hosts of a zone that send its sums to one other zone, and how many hosts
-	// there they are sent to. Two, so that the loss of one goes unnoticed.
+	// zoneReporters is the number of hosts of a zone that send its summaries to each other zone, and of hosts
+	// there that receive them. There are two so that the loss of one has no effect.
 	zoneReporters = 2
-	// zoneSummaryInterval is the period of sums; work crosses zones only when its own is full.
+	// zoneSummaryInterval is the interval between summaries. Work crosses zones only when its own zone is full.
 	zoneSummaryInterval = 250 * time.Millisecond
-	// zoneSummaryTTL is when a zone's sum no longer counts: four periods.
+	// zoneSummaryTTL is how long a zone's summary counts: four intervals.
 	zoneSummaryTTL = 1000 * time.Millisecond
-	// zoneReporterTimeout is when another speaker's sums are taken in place of a silent one's.
+	// zoneReporterTimeout is how long one reporter must be silent before summaries of another are accepted.
 	zoneReporterTimeout = 700 * time.Millisecond
-	// zoneTimeout is how long none of a zone's hosts must be heard for the zone to count as cut off.
+	// zoneTimeout is how long none of a zone's hosts may send a heartbeat before the zone counts as cut off.
 	zoneTimeout = 450 * time.Millisecond
 )
 
-// zoneState is what this host knows of the other zones, where not all hosts talk to each other.
+// zoneState is what this host knows of other zones in a large fleet, and what it last sent to them.
 type zoneState struct {
 	summaries map[string]*zoneSummary
 	summaryAt time.Duration
-	// summariesSent counts this host's sums, and ownersTold are the owners that they named last.
+	// summariesSent counts the summaries sent, and ownersSent are the owners named in the last one that named any.
 	summariesSent int
 	ownersSent    []string
-	// loadsAt is when its sums next tell loads, and quotaLowUntil until when they go out twice as often, as some quota is near its end.
+	// loadsAt is when its summaries next include loads. Until quotaLowUntil they are sent twice as often, as some quota is
+	// nearly exhausted.
 	loadsAt, quotaLowUntil time.Duration
-	// spentSent is what its last sum that named a workspace told of its quota.
+	// spentSent is the spending per workspace last sent in a summary.
 	spentSent map[string]uint64
 	peersAt   time.Duration
-	// readersSeenAt is when a zone mate in contact with the store was last heard.
+	// readersSeenAt is when enough zone peers were last in contact with the store.
 	readersSeenAt  time.Duration
 	readingDecided bool
-	// firstRead is when this host first reads the store, unless it then relies on others.
+	// firstRead is when this host first reads the store, unless it can rely on others by then.
 	firstRead time.Duration
-	// shared tells that this host reads for its zone mates too, with short watches. It is seldom known
-	// at the start, before the others are heard.
+	// shared is set if this host reads the store for its zone peers too, with short watches. At the start it is mostly
+	// unset, as no zone peers are known yet.
 	shared bool
 }
 
-// zoneSummary is another zone's latest sum.
+// zoneSummary is the latest summary of another zone.
 type zoneSummary struct {
 	zone        string
 	reporter    string
 	incarnation uint64
 	seq         uint64
-	hosts       int // that are heard there
-	known       int // that are not forgotten there
+	hosts       int // reachable within that zone
+	known       int // not forgotten within that zone
 	receivedAt  time.Duration
 	owners      []string
 	stale       bool
-	// unrelayed is what this host, rather than a zone mate, has heard and passes on at relayAt.
+	// unrelayed is a summary that this host received itself and relays to its zone peers at relayAt, unless one of them is first.
 	unrelayed *gossippb.ZoneSum
 	relayAt   time.Duration
 }
 
+// key identifies the reporter and its incarnation, under which quotas count the zone's spending.
 func (z *zoneSummary) key() string {
 	return z.zone + "/" + z.reporter + "/" + formatBase36(z.incarnation)
 }
@@ -73,13 +75,13 @@
 	return zoneState{summaries: map[string]*zoneSummary{}, spentSent: map[string]uint64{}}
 }
 
-// largeFleet tells whether there are too many hosts for all to talk to each other.
+// largeFleet reports whether there are too many hosts for all of them to exchange heartbeats.
 func (r *Router) largeFleet() bool { return len(r.members.zoneOf)+1 > maxFullMesh }
 
-// exchangesHeartbeats tells whether this host sends its beats to hosts of a zone.
+// exchangesHeartbeats reports whether this host sends its heartbeats to the hosts of a zone.
 func (r *Router) exchangesHeartbeats(zone string) bool { return zone == r.opt.Zone || !r.largeFleet() }
 
-// zonePeers are the other hosts of this zone that are heard, in order. The list is shared; it is not to be changed.
+// zonePeers returns the reachable other hosts of this zone, sorted. The list is shared and must not be modified.
 func (r *Router) zonePeers() []string {
 	if r.members.zonePeers == nil {
 		r.members.zonePeers = make([]string, 0, len(r.members.order))
@@ -92,9 +94,8 @@
 	return r.members.zonePeers
 }
 
-// hasRole tells whether this host is among the first n of its zone for a purpose. Each host computes
-// it from those that it hears; views that differ for a moment double a hasRole or leave it to one
-// fewer, which is why there are several.
+// hasRole reports whether this host is among the n hosts of its zone with a role, by rendezvous hashing over the reachable
+// ones. While views differ, a role may have one holder more or fewer, which is why each has several.
 func (r *Router) hasRole(purpose string, n int) bool {
 	mine := roleScore(r.opt.Host, purpose)
 	before := 0
@@ -108,14 +109,14 @@
 
 func roleScore(host, purpose string) uint64 { return xxhash.Sum64String(host + "|" + purpose) }
 
-// hostCount counts all hostCount that are not forgotten, this one included.
+// hostCount counts all hosts that are not forgotten, including this one.
 func (r *Router) hostCount() int {
 	n, _ := r.countHosts()
 	return n
 }
 
-// countDirectHosts counts the hosts that this one talks to directly, itself included: those that are not forgotten
-// and those that are heard. In a large fleet they are its zone's.
+// countDirectHosts counts the known and the reachable hosts that this one exchanges heartbeats with, including itself.
+// In a large fleet they are those of its zone.
 func (r *Router) countDirectHosts() (known, heard int) {
 	known, heard = 1, 1
 	for _, h := range r.members.order {
@@ -131,7 +132,7 @@
 	return known, heard
 }
 
-// countHosts counts the hosts that are known and those that are heard, directly or in a zone's sum.
+// countHosts counts all known and all reachable hosts, by heartbeats and by zone summaries.
 func (r *Router) countHosts() (known, heard int) {
 	known, heard = r.countDirectHosts()
 	if !r.largeFleet() {
@@ -154,14 +155,14 @@
 	return known, heard
 }
 
-// zoneDiscoveryDuration is how long after its start a host of a large fleet takes zones of which it has heard no sum
-// for as large as its own, as quotas are parted by the number of hosts. Sums come four times a second.
+// zoneDiscoveryDuration is how long after its start a host of a large fleet assumes that zones without a summary yet
+// are as large as its own, as quotas are divided by the number of hosts. Summaries come four times a second.
 const zoneDiscoveryDuration = 2 * time.Second
 
-// otherZones are the zones of all known hosts but this one's, in order.
+// otherZones returns the zones of all known hosts other than this host's own, sorted.
 func (r *Router) otherZones() []string { return r.members.otherZones }
 
-// recordZone notes where a host is.
+// recordZone records the zone of a host.
 func (r *Router) recordZone(host, zone string) {
 	r.members.zoneOf[host] = zone
 	if zone == "" || zone == r.opt.Zone {
@@ -172,7 +173,7 @@
 	}
 }
 
-// sendZoneSummaries sends this zone's sum to every other zone that this host speaks to.
+// sendZoneSummaries sends this zone's summary to each other zone that this host is a reporter for.
 func (r *Router) sendZoneSummaries() {
 	if !r.largeFleet() || r.now < r.zones.summaryAt {
 		return
@@ -196,9 +197,8 @@
 	}
 }
 
-// ownZoneSummary adds up what other zones have to know of this one: who owns its backend servers, what these
-// carry, requests of all zones together, and what its hosts have admitted. So each zone tells of its own
-// backend servers, and nothing is told or counted twice.
+// ownZoneSummary summarizes this zone for the others: the owners of its backend servers, the load there from all zones,
+// and what its hosts have admitted. As each zone reports only its own backend servers, nothing is reported or counted twice.
 func (r *Router) ownZoneSummary() *gossippb.ZoneSum {
 	known, heard := r.countDirectHosts()
 	s := &gossippb.ZoneSum{Zone: r.opt.Zone, Speaker: r.opt.Host, Incarnation: r.opt.Incarnation, Seq: r.seq + 1,
@@ -212,7 +212,7 @@
 	return s
 }
 
-// zoneLoads are what this zone's backend servers carry, of those that carry something.
+// zoneLoads returns the non-zero loads of this zone's backend servers.
 func (r *Router) zoneLoads() []*gossippb.Load {
 	var out []*gossippb.Load
 	for _, b := range r.backendsIn(r.opt.Zone) {
@@ -226,19 +226,21 @@
 	return out
 }
 
-// backendsPerSummary is how many of a zone's backend servers there are for each sumEvery between two sums that tell what they carry, so that
-// the bytes between zones do not grow with them. Those elsewhere decide by it only whom to ask.
+// backendsPerSummary is the number of a zone's backend servers for which the interval between summaries with loads grows by
+// another zoneSummaryInterval, so that the traffic between zones does not grow with them. Other zones use these loads only to
+// decide which owner to ask.
 const backendsPerSummary = 250
 
-// loadsInterval is the time between two sums that tell what the zone's backend servers carry, less what a tick may be early.
+// loadsInterval is the time between two summaries with loads, less the time by which a tick may be early.
 func (r *Router) loadsInterval() time.Duration {
 	return zoneSummaryInterval*time.Duration(1+len(r.backendsIn(r.opt.Zone))/backendsPerSummary) - zoneSummaryInterval/4
 }
 
-// ownersResendSummaries is how many sums pass between two that name the zone's owners though these are the same: what was lost is told again.
+// ownersResendSummaries is the number of summaries after which the zone's owners are named again though unchanged, in case a
+// datagram was lost.
 const ownersResendSummaries = 4
 
-// ownersToSend are the owners of this zone's backend servers, where they have changed or have not been told for a while.
+// ownersToSend returns the owners of this zone's backend servers if they have changed or are due again; otherwise nil.
 func (r *Router) ownersToSend() []string {
 	owners := r.localShardOwners()
 	r.zones.summariesSent++
@@ -249,10 +251,10 @@
 	return r.zones.ownersSent
 }
 
-// spentResendSummaries is how many sums pass between two that tell what was spent of a quota though nothing was since.
+// spentResendSummaries is the number of summaries after which a quota's unchanged spending is sent again.
 const spentResendSummaries = 8
 
-// spentToSend is what the zone has spent of the quotas that have changed since the last sum, and of some of the others in turn.
+// spentToSend returns the zone's spending per quota where it has changed since it was last sent, and some of the rest in turn.
 func (r *Router) spentToSend() []*gossippb.Spent {
 	var out []*gossippb.Spent
 	for i, name := range r.quotaNames() {
@@ -266,10 +268,10 @@
 	return out
 }
 
-// maxRelayDelay spreads what several hosts have heard at once, so that the first passes it on for all.
+// maxRelayDelay spreads the relaying of a summary that several hosts have received at once, so that the first does it for all.
 const maxRelayDelay = 100 * time.Millisecond
 
-// relaySummaries passes sums of other zones on that this host heard itself, unless a zone mate was faster.
+// relaySummaries relays summaries of other zones that this host received itself, unless a zone peer has relayed them already.
 func (r *Router) relaySummaries() {
 	if !r.largeFleet() {
 		return
@@ -286,7 +288,7 @@
 	}
 }
 
-// applyZoneSummaries takes sums of other zones from a host of a zone: their speaker, or a zone mate that passes them on.
+// applyZoneSummaries merges summaries sent by a host of zone from: a reporter of that zone, or a zone peer that relays them.
 func (r *Router) applyZoneSummaries(from string, sums []*gossippb.ZoneSum) {
 	for _, s := range sums {
 		if s.Zone == r.opt.Zone {
@@ -305,11 +307,11 @@
 	switch {
 	case same && s.Seq <= z.seq:
 		if s.Seq == z.seq && !direct {
-			z.unrelayed = nil // passed on already
+			z.unrelayed = nil // relayed by a zone peer already
 		}
 		return
 	case ok && !same && r.now-z.receivedAt < zoneReporterTimeout:
-		return // one speaker at a time, or admissions would be counted twice
+		return // only one reporter at a time, or admissions would be counted twice
 	case !ok:
 		z = &zoneSummary{zone: s.Zone}
 		r.zones.summaries[s.Zone] = z
@@ -339,7 +341,7 @@
 	}
 }
 
-// applyZoneLoads takes what another zone's backend servers carry; those that are not named carry nothing.
+// applyZoneLoads sets the loads of another zone's backend servers; those not named have none.
 func (r *Router) applyZoneLoads(zone string, told loads) {
 	for _, b := range r.backendsIn(zone) {
 		if !b.removed {
@@ -348,8 +350,8 @@
 	}
 }
 
-// zoneUnreachable tells that no host of another zone is heard though some are known: the zone is cut off,
-// and its backend servers most likely with it.
+// zoneUnreachable reports whether another zone has known hosts but none of them can be reached. The zone is then cut off, and
+// most likely its backend servers too.
 func (r *Router) zoneUnreachable(zone string) bool {
 	if zone == r.opt.Zone {
 		return false
@@ -371,7 +373,7 @@
 	return known
 }
 
-// zoneRecovered takes the backend servers of a zone that was cut off for reachable again. Those that could not
+// zoneRecovered treats the backend servers of a zone that was cut off as reachable again. Those that could not
 // be reached stay on probation: one request at a time until one is answered.
 func (r *Router) zoneRecovered(zone string) {
 	for _, b := range r.backendsIn(zone) {
@@ -380,10 +382,10 @@
 			b.avoidUntil = r.now
 		}
 	}
-	r.emit(Note{What: "zone heard again", Subject: zone})
+	r.emit(Note{What: "zone reachable again", Subject: zone})
 }
 
-// expireZones stops counting what zones said that are not heard any more.
+// expireZones stops counting outdated summaries and forgets those older than hostTTL.
 func (r *Router) expireZones() {
 	for _, zone := range r.otherZones() {
 		z, ok := r.zones.summaries[zone]
@@ -393,7 +395,7 @@
 		quiet := r.now - z.receivedAt
 		if quiet > zoneSummaryTTL && !z.stale {
 			z.stale = true
-			r.emit(Note{What: "zone silent", Subject: zone, Age: quiet})
+			r.emit(Note{What: "zone unreachable", Subject: zone, Age: quiet})
 		}
 		if quiet > hostTTL {
 			delete(r.zones.summaries, zone)
@@ -401,7 +403,7 @@
 	}
 }
 
-// othersLoadAt adds up what others have told of one backend server.
+// othersLoadAt adds up the loads that other hosts report for one backend server.
 func (r *Router) othersLoadAt(hash uint32) load {
 	var sum load
 	for _, h := range r.members.order {
@@ -410,7 +412,7 @@
 	return sum
 }
 
-// unreachableReportsFor counts the hosts that cannot reach a backend server.
+// unreachableReportsFor counts the hosts that report a backend server as unreachable.
 func (r *Router) unreachableReportsFor(hash uint32) int {
 	return r.countReporting(hash, func(m *member) []uint32 { return m.deadBackends })
 }
