--- a/internal/ctl/check.go
+++ b/internal/ctl/check.go
@@ -16,18 +16,18 @@
 	"fireflyshift/platform"
 )
 
-// Finding is one mistake in a file.
+// Finding is one error in a checked file.
 type Finding struct {
 	File    string `json:"file"`
 	Message string `json:"message"`
 }
 
-// Check validates files offline: *.ini as settings, *.toml as the users' platform's deploy file, JSON
-// as that platform's settings or configuration where it looks like one, all else as a record or a
-// list of records.
+// Check validates files offline and returns the exit code. *.ini is checked as settings, *.toml as the platform's
+// deployment file, and JSON as the platform's settings or configuration if it has that shape. Everything else is
+// checked as a record or a list of records.
 func (t *Tool) Check(files []string) int {
 	if len(files) == 0 {
-		fmt.Fprintln(t.Err, "no file is named; give record files (JSON) or settings files (INI)")
+		fmt.Fprintln(t.Err, "no file given; give record files (JSON) or settings files (INI)")
 		return ExitUsage
 	}
 	findings := []Finding{}
@@ -59,14 +59,14 @@
 func checkFile(path string) []string {
 	if filepath.Ext(path) == ".ini" {
 		_, err := settings.Load(path)
-		return messages(err)
+		return errorMessages(err)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return []string{err.Error() + "; name a readable file"}
+		return []string{err.Error() + "; give the path of a readable file"}
 	}
 	if known, err := platform.CheckFile(path, data); known {
-		return messages(err)
+		return errorMessages(err)
 	}
 	raws, err := parseRecords(data)
 	if err != nil {
@@ -75,22 +75,22 @@
 	var out []string
 	for _, r := range raws {
 		if r.Revision == 0 {
-			r.Revision = 1 // the platform numbers it when it is published
+			r.Revision = 1 // the platform assigns the revision when the record is published
 		}
 		_, err := record.Convert(r)
-		out = append(out, messages(err)...)
+		out = append(out, errorMessages(err)...)
 	}
 	return out
 }
 
-func messages(err error) []string {
+func errorMessages(err error) []string {
 	if err == nil {
 		return nil
 	}
-	var many trace.Aggregate
-	if errors.As(err, &many) {
+	var errs trace.Aggregate
+	if errors.As(err, &errs) {
 		var out []string
-		for _, e := range many.Errors() {
+		for _, e := range errs.Errors() {
 			out = append(out, trace.UserMessage(e))
 		}
 		return out
@@ -112,19 +112,19 @@
 	if err == nil {
 		return raws, nil
 	}
-	return nil, fmt.Errorf("%s%w; give a record or a list of records: kind, name, schema, body", lineOf(data, err), err)
+	return nil, fmt.Errorf("%s%w; give a record or a list of records: kind, name, schema, body", linePrefix(data, err), err)
 }
 
-// lineOf names the line of a JSON mistake.
-func lineOf(data []byte, err error) string {
+// linePrefix returns "line N: " for the position of a JSON error, or "" if the error has no position.
+func linePrefix(data []byte, err error) string {
 	offset := int64(-1)
-	var syntax *json.SyntaxError
-	var kind *json.UnmarshalTypeError
+	var syntaxErr *json.SyntaxError
+	var typeErr *json.UnmarshalTypeError
 	switch {
-	case errors.As(err, &syntax):
-		offset = syntax.Offset
-	case errors.As(err, &kind):
-		offset = kind.Offset
+	case errors.As(err, &syntaxErr):
+		offset = syntaxErr.Offset
+	case errors.As(err, &typeErr):
+		offset = typeErr.Offset
 	}
 	if offset < 0 || offset > int64(len(data)) {
 		return ""
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command-line tool. It only reads: operators act by publishing
-// records, and a backend server leaves by its record or by the host list.
+// Package ctl implements the operators' command-line tool. The tool is read-only: operators change the system by
+// publishing records, and remove a backend server through its record or the host list.
 package ctl
 
 import (
@@ -19,31 +19,31 @@
 // Exit codes; docs/OPERATORS.md lists them.
 const (
 	ExitOK          = 0
-	ExitFailed      = 1 // the thing asked about is not so: a bad record, a revision not in force
+	ExitFailed      = 1 // the check failed, for example an invalid record or a revision that is not active
 	ExitUsage       = 2
 	ExitUnreachable = 3 // no host answered
 	ExitPartial     = 4 // some hosts did not answer
 )
 
-const askTimeout = 2 * time.Second
+const requestTimeout = 2 * time.Second
 
-// Tool is one invocation.
+// Tool is one invocation of the command-line tool.
 type Tool struct {
 	Out, Err io.Writer
 	JSON     bool
 	Hosts    []string // admin addresses
 }
 
-// report is one host's answer.
-type report struct {
+// hostReport is one host's status, or the error of the request for it.
+type hostReport struct {
 	Addr   string       `json:"admin"`
 	Error  string       `json:"error,omitempty"`
 	Status *core.Status `json:"status,omitempty"`
 }
 
-// get reads one JSON value from a host's admin address.
+// get reads one JSON value from a host's admin address and returns the response's status code, 0 if there was none.
 func get(ctx context.Context, addr, path string, into any) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -60,9 +60,9 @@
 	return resp.StatusCode, trace.Wrap(json.NewDecoder(resp.Body).Decode(into))
 }
 
-// askAll reads the status of every host at once, in the order given.
-func (t *Tool) askAll(ctx context.Context) []report {
-	out := make([]report, len(t.Hosts))
+// fetchReports requests the status of all hosts concurrently and returns the results in the order of t.Hosts.
+func (t *Tool) fetchReports(ctx context.Context) []hostReport {
+	out := make([]hostReport, len(t.Hosts))
 	var g errgroup.Group
 	g.SetLimit(64)
 	for i, addr := range t.Hosts {
@@ -81,7 +81,7 @@
 	return out
 }
 
-func reached(reports []report) int {
+func countReachable(reports []hostReport) int {
 	n := 0
 	for _, r := range reports {
 		if r.Status != nil {
@@ -91,9 +91,9 @@
 	return n
 }
 
-// exitFor tells how many hosts answered.
-func exitFor(reports []report) int {
-	switch reached(reports) {
+// exitCode returns the exit code for the number of hosts that answered.
+func exitCode(reports []hostReport) int {
+	switch countReachable(reports) {
 	case 0:
 		return ExitUnreachable
 	case len(reports):
@@ -109,10 +109,10 @@
 	_ = e.Encode(v)
 }
 
-func (t *Tool) needHosts() bool {
+func (t *Tool) requireHosts() bool {
 	if len(t.Hosts) > 0 {
 		return true
 	}
-	fmt.Fprintln(t.Err, "no host is named; give --host IP:PORT (a host's [listen] admin address) once for each, or set FIREFLYCTL_HOSTS")
+	fmt.Fprintln(t.Err, "no host given; give --host IP:PORT (a host's [listen] admin address) once for each host, or set FIREFLYCTL_HOSTS")
 	return false
 }
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -11,21 +11,22 @@
 	"fireflyshift/internal/core"
 )
 
-// Status shows hosts, backend servers, revisions in force, and refused records with the reason.
+// Status prints the hosts, their backend servers and active revisions, and refused records with the reason. It
+// returns the exit code.
 func (t *Tool) Status(ctx context.Context) int {
-	if !t.needHosts() {
+	if !t.requireHosts() {
 		return ExitUsage
 	}
-	reports := t.askAll(ctx)
+	reports := t.fetchReports(ctx)
 	if t.JSON {
 		t.writeJSON(reports)
 	} else {
 		t.printStatus(reports)
 	}
-	return exitFor(reports)
+	return exitCode(reports)
 }
 
-func (t *Tool) printStatus(reports []report) {
+func (t *Tool) printStatus(reports []hostReport) {
 	w := tabwriter.NewWriter(t.Out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "HOST\tZONE\tREADY\tREVISION\tDIGEST\tPLATFORM\tREQUESTS\tPEERS ALIVE\tVIOLATIONS")
 	for _, r := range reports {
@@ -35,11 +36,11 @@
 		}
 		s := r.Status
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%08x\t%s\t%d\t%d of %d\t%d\n", s.Host, s.Zone, readiness(s), s.Revision, uint32(s.Digest),
-			platformWord(s), s.Requests, alivePeers(s), len(s.Peers), s.Violations)
+			platformState(s), s.Requests, countAlivePeers(s), len(s.Peers), s.Violations)
 	}
 	w.Flush()
 	t.printBackends(reports)
-	t.printBeliefs(reports)
+	t.printBackendViews(reports)
 	t.printQuarantined(reports)
 	t.printRefused(reports)
 }
@@ -55,7 +56,7 @@
 	}
 }
 
-func platformWord(s *core.Status) string {
+func platformState(s *core.Status) string {
 	switch {
 	case !s.Reading:
 		return "by peers"
@@ -66,7 +67,7 @@
 	}
 }
 
-func alivePeers(s *core.Status) int {
+func countAlivePeers(s *core.Status) int {
 	n := 0
 	for _, p := range s.Peers {
 		if p.Alive {
@@ -76,7 +77,7 @@
 	return n
 }
 
-func (t *Tool) printBackends(reports []report) {
+func (t *Tool) printBackends(reports []hostReport) {
 	w := tabwriter.NewWriter(t.Out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "\nBACKEND SERVER\tSERVICE\tZONE\tADDRESS\tSTATE\tRUNNING\tWINDOW\tSLOTS\tSCHEDULER")
 	for _, r := range reports {
@@ -98,16 +99,16 @@
 	w.Flush()
 }
 
-// printBeliefs shows what each host of the users' platform believes of the backend servers.
-func (t *Tool) printBeliefs(reports []report) {
+// printBackendViews prints each platform host's view of the backend servers. Other hosts have none.
+func (t *Tool) printBackendViews(reports []hostReport) {
 	w := tabwriter.NewWriter(t.Out, 0, 4, 2, ' ', 0)
-	head := false
+	hasHeader := false
 	for _, r := range reports {
 		if r.Status == nil || len(r.Status.Backends) == 0 {
 			continue
 		}
-		if !head {
-			head = true
+		if !hasHeader {
+			hasHeader = true
 			fmt.Fprintln(w, "\nHOST\tSTORE AGE\tERA\tBACKEND SERVER\tSERVICE\tZONE\tADDRESS\tSTATE\tOWNER\tOWN\tOTHERS\tSLOTS\tINTERVAL")
 		}
 		for _, b := range r.Status.Backends {
@@ -118,8 +119,8 @@
 	w.Flush()
 }
 
-// printQuarantined shows the requests that are kept from backend servers, each once.
-func (t *Tool) printQuarantined(reports []report) {
+// printQuarantined prints the quarantined requests. A request that several hosts report is printed once.
+func (t *Tool) printQuarantined(reports []hostReport) {
 	shown := map[string]bool{}
 	for _, r := range reports {
 		if r.Status == nil {
@@ -130,13 +131,13 @@
 				continue
 			}
 			shown[q.Digest] = true
-			fmt.Fprintf(t.Out, "quarantined request %s of workspace %s: %d backend servers ended under it, the latest %d s ago; one host lets it run again in %d s\n",
+			fmt.Fprintf(t.Out, "quarantined request %s of workspace %s: %d backend servers crashed while running it, the latest %d s ago; one host will try it again in %d s\n",
 				q.Digest, cmp.Or(q.Workspace, "-"), q.Ends, q.AgeMS/1000, q.NextTrialMS/1000)
 		}
 	}
 }
 
-func (t *Tool) printRefused(reports []report) {
+func (t *Tool) printRefused(reports []hostReport) {
 	shown := map[string]bool{}
 	for _, r := range reports {
 		if r.Status == nil {
@@ -152,32 +153,32 @@
 	}
 }
 
-const watchEvery = 200 * time.Millisecond
+const watchInterval = 200 * time.Millisecond
 
-// Watch shows the revision of each host until the given one is in force on all that answer, or the
-// timeout has passed. Revision 0 means the highest that any host has. A host that answers nothing
-// is not waited for, and makes the exit code ExitPartial.
+// Watch prints the revision of each host until the given revision is active on all hosts that answer, or the timeout
+// has passed. With revision 0 it waits until these hosts have the same configuration. It does not wait for hosts that
+// do not answer; if there are any, the exit code is ExitPartial.
 func (t *Tool) Watch(ctx context.Context, revision uint64, timeout time.Duration) int {
-	if !t.needHosts() {
+	if !t.requireHosts() {
 		return ExitUsage
 	}
-	until := time.Now().Add(timeout)
+	deadline := time.Now().Add(timeout)
 	latest := ""
 	for {
-		reports := t.askAll(ctx)
-		if line := revisions(reports); line != latest {
+		reports := t.fetchReports(ctx)
+		if line := formatRevisions(reports); line != latest {
 			latest = line
 			fmt.Fprintln(t.Err, line)
 		}
-		if reached(reports) > 0 && inForce(reports, revision) {
+		if countReachable(reports) > 0 && isActive(reports, revision) {
 			if t.JSON {
 				t.writeJSON(reports)
 			}
-			return exitFor(reports)
+			return exitCode(reports)
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			fmt.Fprintf(t.Err, "revision %d is not in force everywhere after %s; 'fireflyctl status' shows refused records\n", revision, timeout)
-			if reached(reports) == 0 {
+			if countReachable(reports) == 0 {
 				return ExitUnreachable
 			}
 			return ExitFailed
@@ -185,12 +186,12 @@
 		select {
 		case <-ctx.Done():
 			return ExitFailed
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 		}
 	}
 }
 
-func revisions(reports []report) string {
+func formatRevisions(reports []hostReport) string {
 	line := "in force:"
 	for _, r := range reports {
 		if r.Status == nil {
@@ -202,7 +203,7 @@
 	return line
 }
 
-func inForce(reports []report, revision uint64) bool {
+func isActive(reports []hostReport, revision uint64) bool {
 	digest := uint64(0)
 	first := true
 	for _, r := range reports {
@@ -220,17 +221,17 @@
 	return true
 }
 
-// Explain shows where a request went, when, and why there.
+// Explain prints a request's trace: the hosts and backend servers it was sent to, when, and why.
 func (t *Tool) Explain(ctx context.Context, id string) int {
-	if !t.needHosts() {
+	if !t.requireHosts() {
 		return ExitUsage
 	}
 	answered := 0
 	for _, addr := range t.Hosts {
-		var trail []core.TraceEvent
-		code, err := get(ctx, addr, "/explain/"+id, &trail)
+		var events []core.TraceEvent
+		code, err := get(ctx, addr, "/explain/"+id, &events)
 		if err == nil {
-			t.printTrail(addr, trail)
+			t.printTrace(addr, events)
 			return ExitOK
 		}
 		if code == http.StatusNotFound {
@@ -245,13 +246,13 @@
 	return ExitFailed
 }
 
-func (t *Tool) printTrail(addr string, trail []core.TraceEvent) {
+func (t *Tool) printTrace(addr string, events []core.TraceEvent) {
 	if t.JSON {
-		t.writeJSON(map[string]any{"admin": addr, "trail": trail})
+		t.writeJSON(map[string]any{"admin": addr, "trail": events})
 		return
 	}
 	fmt.Fprintf(t.Out, "entry host %s\n", addr)
-	for _, h := range trail {
-		fmt.Fprintf(t.Out, "  +%-10s %s\n", (h.At - trail[0].At).Round(10*time.Microsecond), h.What)
+	for _, e := range events {
+		fmt.Fprintf(t.Out, "  +%-10s %s\n", (e.At - events[0].At).Round(10*time.Microsecond), e.What)
 	}
 }
