--- a/internal/edge/body.go
+++ b/internal/edge/body.go
@@ -32,7 +32,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded) && s.ending.Err() != nil:
 		return nil, s.drainingFault()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, fault.New(fault.SlowBody, "the body did not come within %s", s.opt.BodyTimeout)
+		return nil, fault.New(fault.SlowBody, "the body did not arrive within %s", s.opt.BodyTimeout)
 	case err != nil:
 		return nil, fault.New(fault.BadBody, "the body could not be read: %v", err)
 	}
--- a/internal/edge/chat.go
+++ b/internal/edge/chat.go
@@ -19,7 +19,7 @@
 	// and triples with each attempt.
 	maxReattachAttempts = 5
 	reattachBackoff     = 20 * time.Millisecond
-	exportTimeout       = 3 * time.Second
+	exportTimeout       = 3 * time.Second // for the export of a suspended stream to arrive
 	// shutdownCancelTimeout bounds the wait for an engine to accept a cancel as the host ends, since the caller waits
 	// for it too.
 	shutdownCancelTimeout = 250 * time.Millisecond
@@ -151,9 +151,9 @@
 // follow reads the stream to its end, re-attaching whenever it breaks off.
 func (m *modelAttempt) follow(ctx context.Context, st *engine.Stream) core.DispatchEnded {
 	for {
-		e, cut := m.read(ctx, st)
+		e, interrupted := m.read(ctx, st)
 		st.Close()
-		if !cut {
+		if !interrupted {
 			return e
 		}
 		var err error
@@ -173,7 +173,7 @@
 //
 // The checks of ID and offset guard against mixed-up and incomplete answers: a chunk of another request, or one that
 // skips tokens, counts as a break, and the stream is continued at the right offset.
-func (m *modelAttempt) read(ctx context.Context, st *engine.Stream) (e core.DispatchEnded, cut bool) {
+func (m *modelAttempt) read(ctx context.Context, st *engine.Stream) (e core.DispatchEnded, interrupted bool) {
 	finished := false
 	for {
 		c, err := st.Next()
--- a/internal/edge/stop_test.go
+++ b/internal/edge/stop_test.go
@@ -19,8 +19,8 @@
 )
 
 // stoppingControl is a control thread that dispatches at once, and on which the stop arrives just before the event that
-// the dispatch has ended: like core.endRequests, it finishes running requests as stopped and drops the late Ended
-// event.
+// the dispatch has ended: like core.Core.finishAll, it finishes running requests as stopped and drops the late
+// DispatchEnded.
 type stoppingControl struct {
 	fixedClockControl
 	addr    string
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -75,7 +75,7 @@
 	a.closeIfDraining()
 	h := a.w.Header()
 	if retryAfter > 0 {
-		h.Set("Retry-After", a.g.wire.RetryAfter(retryAfter))
+		h.Set("Retry-After", a.g.codec.RetryAfter(retryAfter))
 	}
 	data, err := json.Marshal(refusalBody{cause, remedies[cause]})
 	if err != nil {
@@ -124,7 +124,7 @@
 // logDispatch logs a dispatch to a backend server.
 func (a *activeRequest) logDispatch(d router.Dispatch) {
 	a.g.metrics.Count("requests.dispatched", 1)
-	a.g.histories.add(a.call.AttemptID, d.At, "sent to %s (attempt %d): %d in flight of at most %d, beliefs %s old, configuration %d",
+	a.g.histories.add(a.call.AttemptID, d.At, "sent to %s (attempt %d): %d in flight of at most %d, view %s old, configuration version %d",
 		d.Backend.ID, d.Attempt, d.Basis.InFlight, d.Basis.Limit, d.Basis.ViewAge, d.Basis.Version)
 	if d.Attempt > 1 {
 		a.g.metrics.Count("requests.sent_again", 1)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -57,7 +57,7 @@
 // Gateway is the HTTP handler for callers.
 type Gateway struct {
 	control   Control
-	wire      HeaderCodec
+	codec     HeaderCodec
 	pool      *upstream.Pool
 	log       zerolog.Logger
 	metrics   telemetry.Metrics
@@ -69,9 +69,9 @@
 }
 
 // New returns a gateway.
-func New(c Control, w HeaderCodec, p *upstream.Pool, log zerolog.Logger, m telemetry.Metrics) *Gateway {
+func New(c Control, codec HeaderCodec, p *upstream.Pool, log zerolog.Logger, m telemetry.Metrics) *Gateway {
 	ending, end := context.WithCancel(context.Background())
-	return &Gateway{control: c, wire: w, pool: p, log: log, metrics: m, histories: newHistories(), ending: ending, end: end}
+	return &Gateway{control: c, codec: codec, pool: p, log: log, metrics: m, histories: newHistories(), ending: ending, end: end}
 }
 
 // Shutdown abandons the requests in progress: callers that have no status yet get one.
@@ -109,7 +109,7 @@
 }
 
 func (g *Gateway) newActiveRequest(w http.ResponseWriter, r *http.Request) *activeRequest {
-	return &activeRequest{g: g, w: w, r: r, call: g.wire.Read(r.Header), startedAt: time.Now(), startedOnControl: g.control.Now()}
+	return &activeRequest{g: g, w: w, r: r, call: g.codec.Read(r.Header), startedAt: time.Now(), startedOnControl: g.control.Now()}
 }
 
 // RejectShutdown refuses a request that arrives as the host ends, before any of it has run.
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -14,7 +14,7 @@
 // relay classifies an answer and passes it on. What the backend server announces about itself in the head is reported
 // to the reducer first: the body may take long, or break off.
 func (a *activeRequest) relay(from routing.Backend, resp *upstream.Response, sentAt time.Time) router.DispatchEnded {
-	info := a.g.wire.Classify(resp.Status, resp.Header)
+	info := a.g.codec.Classify(resp.Status, resp.Header)
 	success := isSuccess(resp.Status)
 	if resp.Status != http.StatusMisdirectedRequest && (info.Leaving || info.HoldOff > 0) {
 		a.g.control.Post(router.BackendAnnouncement{ID: from.ID, Start: from.Start, Leaving: info.Leaving, HoldOff: info.HoldOff})
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -326,12 +326,12 @@
 	if a.lastEvent > 0 {
 		s.LastEvent = itoa(a.lastEvent)
 	}
-	a.g.wire.Prepare(h, s)
+	a.g.codec.Prepare(h, s)
 	req := &upstream.Request{
 		Method: a.r.Method, Target: a.r.RequestURI, Host: a.r.Host, Header: h,
 		Body: a.body, Length: int64(len(a.body)), Deadline: a.deadline,
 		IsOwn: func(h http.Header) bool {
-			id := a.g.wire.Classify(0, h).AttemptID
+			id := a.g.codec.Classify(0, h).AttemptID
 			return id == "" || id == a.call.AttemptID
 		},
 	}
--- a/internal/ingress/body.go
+++ b/internal/ingress/body.go
@@ -9,14 +9,14 @@
 // AbortReads makes reads of a request's body fail when ctx is done. After stop it sets no deadline any more; a deadline
 // that it has already set is left for the caller to clear.
 func AbortReads(ctx context.Context, rc *http.ResponseController) (stop func()) {
-	cut := make(chan struct{})
-	release := context.AfterFunc(ctx, func() {
-		defer close(cut)
+	aborted := make(chan struct{})
+	stopWatch := context.AfterFunc(ctx, func() {
+		defer close(aborted)
 		_ = rc.SetReadDeadline(time.Now())
 	})
 	return func() {
-		if !release() {
-			<-cut // otherwise the deadline could be set after stop has returned
+		if !stopWatch() {
+			<-aborted // otherwise the deadline could be set after stop has returned
 		}
 	}
 }
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -126,12 +126,12 @@
 // gatedConn blocks reads until the gate opens, like a host without processor time.
 type gatedConn struct {
 	*net.TCPConn
-	held func() <-chan struct{}
+	gate func() <-chan struct{}
 }
 
 // Read implements net.Conn.
 func (h gatedConn) Read(p []byte) (int, error) {
-	<-h.held()
+	<-h.gate()
 	return h.TCPConn.Read(p)
 }
 
--- a/internal/limit/budget.go
+++ b/internal/limit/budget.go
@@ -8,11 +8,11 @@
 // own requests have earned and its part of the extra, so that the sum over all hosts keeps the bound without any
 // message between them.
 type Budget struct {
-	ratio  float64
-	extra  float64 // per window, over all hosts
-	window time.Duration
-	level  float64
-	at     time.Duration
+	ratio      float64
+	extra      float64 // per window, over all hosts
+	window     time.Duration
+	level      float64
+	refilledAt time.Duration
 }
 
 const (
@@ -56,9 +56,9 @@
 }
 
 func (b *Budget) refill(now time.Duration, hosts int) {
-	if b.window > 0 && now > b.at {
-		part := b.extra / 2 / float64(max(hosts, minHosts))
-		b.level = min(b.maxLevel(hosts), b.level+part*float64(now-b.at)/float64(b.window))
+	if b.window > 0 && now > b.refilledAt {
+		refillPart := b.extra / 2 / float64(max(hosts, minHosts))
+		b.level = min(b.maxLevel(hosts), b.level+refillPart*float64(now-b.refilledAt)/float64(b.window))
 	}
-	b.at = max(b.at, now)
+	b.refilledAt = max(b.refilledAt, now)
 }
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -157,7 +157,7 @@
 		if restart > 0 && restart < int(window/step)+connectedAfter {
 			settled = connectedAfter // two starts of all hosts within a window are not covered if a partition follows at once
 		}
-		cutFrom := rapid.IntRange(0, 400).Draw(t, "cut from")
+		partitionFrom := rapid.IntRange(0, 400).Draw(t, "cut from")
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		f := newTestFleet(hosts, rate, burst, allow)
 		const cost, usual = 4000.0, 0.6
@@ -173,7 +173,7 @@
 				}
 				f.queue, f.startStep = nil, n
 			}
-			if n >= cutFrom && n < cutFrom+100 && n >= f.startStep+settled {
+			if n >= partitionFrom && n < partitionFrom+100 && n >= f.startStep+settled {
 				f.partitionAt = hosts / 2
 			}
 			f.deliver(n, delay)
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -30,9 +30,9 @@
 	// lost track of what they admitted just before.
 	initialLevel = 0.5
 	// partitionOverage is the fraction by which each side of a network partition may exceed its even share, paid from
-	// the allowance, because the callers of a partitioned zone never match that share exactly. It is a fraction of the
-	// share and not of the quota, so that all sides together exceed the quota by no more than this, however many they
-	// are.
+	// the allowance, because the callers of a partitioned zone request a little more or less than that. It is a
+	// fraction of the share and not of the quota, so that all sides together exceed the quota by no more than this,
+	// however many they are.
 	partitionOverage = 0.1
 	// maxSkew is how many times its even share of a quota one host may use, because the load balancer spreads callers
 	// by a hash and workspaces are spread unevenly. It bounds what all hosts together admit within the age of a
@@ -41,8 +41,8 @@
 	// largeFleetSize is the number of hosts from which maxSkewLargeFleet applies. In a large fleet, totals travel
 	// through zone summaries and take longer, and the hosts' shares are more even. With three times the even share, 79
 	// hosts admitted 4 % over the allowance of a workspace that requested nine times its quota. The part above the even
-	// share shrinks with the fraction of hosts that can be reached, since no unreachable host compensates by admitting
-	// less.
+	// share shrinks with the fraction of hosts that can be reached, because hosts that cannot be reached do not
+	// compensate by admitting less.
 	largeFleetSize    = 17
 	maxSkewLargeFleet = 1.5
 	// maxSkewZone applies to a host that decides for a whole zone: load is spread more evenly over zones than over
@@ -66,15 +66,15 @@
 // when their totals arrive with heartbeats.
 type Quota struct {
 	rate, burst float64
-	allow       Allowance
+	allowance   Allowance
 	level       float64
-	at          time.Duration
+	refilledAt  time.Duration
 	spent       float64 // admitted by this host since its start, as sent in its heartbeats
 	zoneSpent   float64 // admitted by this zone's hosts, itself included, as known since its start
 	peerTotals  map[string]float64
 	// ownLevel is this host's own bucket, which bounds what it admits before the totals of others arrive.
-	ownLevel float64
-	ownAt    time.Duration
+	ownLevel      float64
+	ownRefilledAt time.Duration
 	// withheld is what was not refilled on account of unreachable hosts.
 	withheld float64
 	// stagger is non-zero until the first admission; see StaggerStart.
@@ -93,10 +93,10 @@
 
 // NewQuota returns a bucket that is filled to initialLevel, with the host's own bucket full.
 func NewQuota(now time.Duration, rate, burst float64, a Allowance) *Quota {
-	q := &Quota{allow: a, at: now, peerTotals: map[string]float64{}}
+	q := &Quota{allowance: a, refilledAt: now, peerTotals: map[string]float64{}}
 	q.Set(rate, burst)
 	q.level = initialLevel * q.burst
-	q.ownLevel, q.ownAt = q.burst, now
+	q.ownLevel, q.ownRefilledAt = q.burst, now
 	return q
 }
 
@@ -138,14 +138,14 @@
 
 // SetAllowance changes the allowance.
 func (q *Quota) SetAllowance(a Allowance) {
-	q.allow = a
+	q.allowance = a
 	q.level = min(q.level, q.burst)
 }
 
 // refillRate is the refill per second: the quota's rate plus a part of the allowance. Over any window the bucket then
 // admits rate x window + burst and that part (allowanceUse) of what the operators allow above it.
 func (q *Quota) refillRate() float64 {
-	w := q.allow.Window.Seconds()
+	w := q.allowance.Window.Seconds()
 	if w <= 0 {
 		return q.rate
 	}
@@ -156,22 +156,22 @@
 	case q.forZone:
 		fraction = allowanceUseZone
 	}
-	extra := q.allow.Overage*(q.rate*w+q.burst) + q.allow.Slack
+	extra := q.allowance.Overage*(q.rate*w+q.burst) + q.allowance.Slack
 	return q.rate + fraction*extra/w
 }
 
 // refill adds what has accrued since the last call. reachable is the fraction of hosts whose totals arrive; the others,
 // partitioned or just gone, are assumed to use their even share of the rate meanwhile.
 func (q *Quota) refill(now time.Duration, reachable float64) {
-	if now > q.at {
+	if now > q.refilledAt {
 		reachable = min(1, reachable*(1+partitionOverage))
-		accrued := q.refillRate() * (now - q.at).Seconds()
-		// The level is part of what unreachable hosts may use as well: twelve hosts that were each cut off from all
-		// others admitted twelve full buckets.
+		accrued := q.refillRate() * (now - q.refilledAt).Seconds()
+		// Unreachable hosts may use a part of the level too: twelve hosts that were each cut off from all others
+		// admitted twelve full buckets.
 		q.level = min(q.burst*reachable, q.level+accrued*reachable)
 		// withheld is bounded because it may be for hosts that never return.
 		q.withheld = min(q.rate*maxWithheld.Seconds(), q.withheld+accrued*(1-reachable))
-		q.at = now
+		q.refilledAt = now
 	}
 }
 
@@ -205,7 +205,7 @@
 
 // refillOwn refills this host's own bucket and decays the recent admissions.
 func (q *Quota) refillOwn(now time.Duration, s Scope) {
-	elapsed := max(0, (now - q.ownAt).Seconds())
+	elapsed := max(0, (now - q.ownRefilledAt).Seconds())
 	decay := math.Exp(-elapsed / recentDecay.Seconds())
 	q.ownRecent *= decay
 	q.othersRecent *= decay
@@ -215,7 +215,7 @@
 	}
 	q.stagger = 0
 	q.ownLevel = min(q.burst*share, q.ownLevel+q.refillRate()*share*elapsed)
-	q.ownAt = max(q.ownAt, now)
+	q.ownRefilledAt = max(q.ownRefilledAt, now)
 }
 
 // Admit takes cost from the bucket, or returns the time after which to retry.
@@ -278,7 +278,7 @@
 // ZoneSpent is the total that the hosts of this zone have admitted, as known since this host's start.
 func (q *Quota) ZoneSpent() float64 { return q.zoneSpent }
 
-// PeerTotal is the running total of another host or zone, with how to apply it.
+// PeerTotal is a report of what another host or zone has admitted since its start.
 type PeerTotal struct {
 	// Peer names the host or zone with its incarnation.
 	Peer  string
@@ -318,7 +318,7 @@
 // minLevel bounds how far peers' totals can overdraw the bucket: by what can be admitted in one window. A total beyond
 // that is wrong, and would block the workspace for good.
 func (q *Quota) minLevel() float64 {
-	return -(q.burst + q.refillRate()*max(1, q.allow.Window.Seconds()))
+	return -(q.burst + q.refillRate()*max(1, q.allowance.Window.Seconds()))
 }
 
 // Forget drops the last total of a host incarnation that is gone.
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -248,7 +248,7 @@
 	{"ingress-one-notice", "5", "internal/ingress/connections.go", "	if k.load() == stateClosing {\n		return\n	}\n	c.setState(k, stateClosing)\n", "	c.setState(k, stateClosing)\n", []string{"./internal/ingress"}},
 	{"ingress-gate-closing", "5", "internal/ingress/connections.go", "c.rejecting || (k != nil && k.load() == stateClosing)", "c.rejecting || (k != nil && false)", []string{"./internal/ingress"}},
 	{"gateway-end-unsent", "5", "internal/gateway/request.go", "	if a.g.ended() {\n		return router.DispatchEnded{Outcome: router.Canceled}\n	}\n", "", []string{"./internal/gateway"}},
-	{"gateway-end-deadline", "5", "internal/ingress/body.go", "			<-cut //", "			//", []string{"./internal/gateway"}},
+	{"gateway-end-deadline", "5", "internal/ingress/body.go", "			<-aborted //", "			//", []string{"./internal/gateway"}},
 	{"gateway-end-told", "5", "internal/node/node.go", "	n.gateway.Shutdown()\n", "", onPlatform("EndOfTheGrace")},
 	{"gateway-end-truly", "5", "internal/gateway/request.go", "	a.mayHaveRun = a.mayHaveRun || sent\n", "", onPlatform("EndOfTheGrace")},
 	{"node-reads-once", "8", "internal/node/store.go", "	if on == (t.cancel != nil) {\n		return\n	}\n", "	if t.cancel != nil {\n		t.cancel()\n	}\n", []string{"./internal/node"}},
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -147,7 +147,7 @@
 // ID.
 func (x *call) read(req *Request) (*Response, error) {
 	hr := &http.Request{Method: req.Method}
-	for stray := 0; ; {
+	for skipped := 0; ; {
 		resp, err := http.ReadResponse(x.conn.r, hr)
 		if err != nil {
 			return nil, trace.Wrap(err)
@@ -159,9 +159,9 @@
 			continue
 		}
 		if !req.IsOwn(resp.Header) {
-			stray++
+			skipped++
 			x.sawForeignAnswer = true
-			if stray > maxForeignAnswers || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
+			if skipped > maxForeignAnswers || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 				return nil, trace.BadParameter("the answer belongs to another request")
 			}
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
