--- a/internal/router/ask.go
+++ b/internal/router/ask.go
@@ -39,7 +39,7 @@
 // If no owner replies, this host decides locally.
 func (r *Router) schedule(q *request) {
 	c := r.selectInScope(q, scopeZone)
-	if c.backend == nil || c.class != classHealthy || c.grounds.InFlight >= c.backend.Slots {
+	if c.backend == nil || c.class != classHealthy || c.basis.InFlight >= c.backend.Slots {
 		c = r.selectInScope(q, scopeAll) // the zone's own backend servers are busy
 	}
 	if c.backend != nil && c.class == classHealthy {
@@ -51,8 +51,8 @@
 		return
 	}
 	if c.backend == nil {
-		c.grounds.ViewAge = r.oldestHeartbeatAge()
-		r.refuse(q, c.grounds)
+		c.basis.ViewAge = r.oldestHeartbeatAge()
+		r.refuse(q, c.basis)
 		return
 	}
 	r.requestSlotOrSend(q, c)
@@ -64,8 +64,8 @@
 	owner := r.ownerOf(c.backend)
 	// Owners grant no slots at cold backend servers. Few hosts send to those, without asking.
 	if c.backend.cold(r.now) || q.decideLocally || len(q.fullOwners) >= maxSlotRequests || !r.canAsk(owner) {
-		c.grounds.ViewAge = r.oldestHeartbeatAge()
-		r.send(q, c.backend, c.grounds)
+		c.basis.ViewAge = r.oldestHeartbeatAge()
+		r.send(q, c.backend, c.basis)
 		return
 	}
 	r.requestSlot(q, owner, c.class)
@@ -217,8 +217,8 @@
 
 func (r *Router) isLocalOwner(host string) bool { return slices.Contains(r.localShardOwners(), host) }
 
-// handleOffer processes an owner's reply to a slot request.
-func (r *Router) handleOffer(from string, offer *gossippb.Offer) {
+// handleSlotOffer processes an owner's reply to a slot request.
+func (r *Router) handleSlotOffer(from string, offer *gossippb.Offer) {
 	a, ok := r.slotRequests.take(from, offer.Number)
 	if !ok {
 		return
@@ -245,7 +245,7 @@
 	reported := loadFromProto(offer.Place)
 	r.applyOwnerLoad(b, reported)
 	q.owner = from
-	g := r.grounds()
+	g := r.basis()
 	g.InFlight, g.Limit, g.Wait = reported.total(), int(offer.Limit), time.Duration(offer.WaitUs)*time.Microsecond
 	g.Owner, g.ViewAge = from, r.now-a.sentAt
 	r.send(q, b, g)
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -23,7 +23,7 @@
 			for i, be := range r.allBackends() {
 				be.othersLoad.counts[0] = i % 5
 				be.learnEventInterval(time.Duration(10+i%7) * time.Millisecond)
-				be.learnPrefillTime(time.Duration(10+i%5) * time.Microsecond)
+				be.learnPrefill(time.Duration(10+i%5) * time.Microsecond)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -56,11 +56,11 @@
 }
 
 // setCold marks a backend server as cold for the given time, or as warm if that is not positive.
-func (r *Router) setCold(b *backend, left time.Duration, by string) {
+func (r *Router) setCold(b *backend, left time.Duration, reason string) {
 	was := b.cold(r.now)
 	if rate, known := r.coldRateLimit(b); left <= 0 || (known && rate <= 0) {
 		if was {
-			r.markWarm(b, by)
+			r.markWarm(b, reason)
 		}
 		return
 	}
@@ -72,13 +72,13 @@
 	b.warming.refilledAt, b.warming.tokens = r.now, 1
 	b.warming.rate = r.hostColdRate(b)
 	r.emit(Note{What: "backend server is cold", Subject: b.ID,
-		Detail: by + " " + left.String() + " rate=" + strconv.FormatFloat(b.warming.rate, 'f', 2, 64)})
+		Detail: reason + " " + left.String() + " rate=" + strconv.FormatFloat(b.warming.rate, 'f', 2, 64)})
 }
 
-func (r *Router) markWarm(b *backend, by string) {
+func (r *Router) markWarm(b *backend, reason string) {
 	b.warming = coldState{}
 	delete(r.warming, b.ID)
-	r.emit(Note{What: "backend server is warm", Subject: b.ID, Detail: by})
+	r.emit(Note{What: "backend server is warm", Subject: b.ID, Detail: reason})
 }
 
 // updateCold marks backend servers as warm when their time has passed and updates this host's rate for the others.
--- a/internal/router/failing.go
+++ b/internal/router/failing.go
@@ -62,8 +62,8 @@
 
 // succeeded records that a request sent at the given time was served. A request sent before the latest failure
 // is ignored: long streams continue at a backend server that breaks all new ones.
-func (f *failureState) succeeded(began time.Duration) {
-	if f.failures > 0 && began < f.failedAt {
+func (f *failureState) succeeded(sentAt time.Duration) {
+	if f.failures > 0 && sentAt < f.failedAt {
 		return
 	}
 	f.successes++
--- a/internal/router/grant.go
+++ b/internal/router/grant.go
@@ -23,8 +23,8 @@
 		r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: &gossippb.Offer{Number: a.Number, Full: r.ownedLoads(a.Service)}}})
 		return
 	}
-	o := &gossippb.Offer{Number: a.Number, Place: c.backend.totalLoad().toProto(c.backend.hash), Limit: uint32(max(0, c.grounds.Limit)),
-		WaitUs: uint32(max(0, c.grounds.Wait).Microseconds())}
+	o := &gossippb.Offer{Number: a.Number, Place: c.backend.totalLoad().toProto(c.backend.hash), Limit: uint32(max(0, c.basis.Limit)),
+		WaitUs: uint32(max(0, c.basis.Wait).Microseconds())}
 	r.adjustLoad(m, c.backend.hash, q.priority(), 1, q.PromptTok)
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: o}})
 }
@@ -68,14 +68,14 @@
 }
 
 // adjustLoad changes the load of another host at a backend server.
-func (r *Router) adjustLoad(m *member, hash uint32, priority, requests, unread int) {
+func (r *Router) adjustLoad(m *member, hash uint32, priority, requests, promptTokens int) {
 	if m.loads == nil {
 		m.loads = loads{}
 	}
 	was := m.loads[hash]
 	now := was
 	now.counts[priority] = max(0, was.counts[priority]+requests)
-	now.prefillBacklog = min(max(0, was.prefillBacklog+unread), maxPrefillBacklog)
+	now.prefillBacklog = min(max(0, was.prefillBacklog+promptTokens), maxPrefillBacklog)
 	if now == (load{}) {
 		delete(m.loads, hash)
 	} else {
@@ -120,13 +120,13 @@
 
 func (r *Router) learnFromReport(b *backend, rep *gossippb.Report) {
 	svc := r.serviceState(b.Service)
-	if pace := min(time.Duration(rep.IntervalUs)*time.Microsecond, maxEventInterval); pace > 0 {
-		b.learnEventInterval(pace)
-		svc.learnEventInterval(pace)
+	if interval := min(time.Duration(rep.IntervalUs)*time.Microsecond, maxEventInterval); interval > 0 {
+		b.learnEventInterval(interval)
+		svc.learnEventInterval(interval)
 	}
-	if read := time.Duration(rep.ReadNs); read > 0 && read <= maxPrefillTime {
-		b.learnPrefillTime(read)
-		svc.learnPrefill(read)
+	if perToken := time.Duration(rep.ReadNs); perToken > 0 && perToken <= maxPrefillPerToken {
+		b.learnPrefill(perToken)
+		svc.learnPrefill(perToken)
 	}
 	svc.learnStreamLength(int(min(rep.Events, maxEvents)))
 }
@@ -151,8 +151,8 @@
 
 // newReport returns a report of requests and prompt tokens added to the request's backend server, or
 // removed if negative.
-func (q *request) newReport(requests, unread int) *gossippb.Report {
-	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.priority()), Requests: int32(requests), Unread: int32(unread)}
+func (q *request) newReport(requests, promptTokens int) *gossippb.Report {
+	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.priority()), Requests: int32(requests), Unread: int32(promptTokens)}
 }
 
 // reportAssigned reports a request to the owner that did not grant its slot.
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -184,33 +184,33 @@
 // eligibleOwners returns the hosts of this zone that may own backend servers: those that have run for
 // minOwnerAge, or if there are none, for minOwnerAgeAtStart. It sets recomputeAt.
 func (r *Router) eligibleOwners() []string {
-	var old, young []string
+	var mature, recent []string
 	r.owners.recomputeAt = never
-	consider := func(host string, bornAt time.Duration) {
-		switch age := r.now - bornAt; {
+	add := func(host string, startedAt time.Duration) {
+		switch age := r.now - startedAt; {
 		case age >= minOwnerAge:
-			old = append(old, host)
+			mature = append(mature, host)
 			return
 		case age >= minOwnerAgeAtStart:
-			young = append(young, host)
-			r.owners.recomputeAt = min(r.owners.recomputeAt, bornAt+minOwnerAge)
+			recent = append(recent, host)
+			r.owners.recomputeAt = min(r.owners.recomputeAt, startedAt+minOwnerAge)
 		default:
-			r.owners.recomputeAt = min(r.owners.recomputeAt, bornAt+minOwnerAgeAtStart)
+			r.owners.recomputeAt = min(r.owners.recomputeAt, startedAt+minOwnerAgeAtStart)
 		}
 	}
 	if r.drain == nil {
-		consider(r.opt.Host, 0)
+		add(r.opt.Host, 0)
 	}
 	for _, h := range r.zonePeers() {
 		if m := r.members.byHost[h]; !m.leaving {
-			consider(h, m.startedAt)
+			add(h, m.startedAt)
 		}
 	}
-	r.owners.established = len(old) > 0
+	r.owners.established = len(mature) > 0
 	if r.owners.established {
-		return old
+		return mature
 	}
-	return young
+	return recent
 }
 
 // rendezvousTopTwo returns the two hosts with the highest hash for a shard, or "" if there are too few.
@@ -242,7 +242,7 @@
 	}
 	r.owners.nextOccupancyAt = r.now + r.occupancyInterval()
 	o := &gossippb.Occupancy{All: true}
-	whole := r.owners.occupancySent%messagesPerFullSpeeds == 0
+	allSpeeds := r.owners.occupancySent%messagesPerFullSpeeds == 0
 	r.localShardOwners()
 	for _, b := range r.owners.ownedBackends {
 		if b.removed {
@@ -251,9 +251,9 @@
 		if all := b.totalLoad(); all != (load{}) {
 			o.Loads = append(o.Loads, all.toProto(b.hash))
 		}
-		if b.samples > 0 && (whole || b.speed().differsFrom(b.reportedSpeed)) {
+		if b.samples > 0 && (allSpeeds || b.speed().differsFrom(b.reportedSpeed)) {
 			b.reportedSpeed = b.speed()
-			o.Speeds = append(o.Speeds, b.speedMessage())
+			o.Speeds = append(o.Speeds, b.speedToProto())
 		}
 	}
 	if len(r.owners.ownedBackends) == 0 {
@@ -291,13 +291,13 @@
 }
 
 // applyFullOccupancy applies an owner's report on all its backend servers. Those it does not list are idle.
-func (r *Router) applyFullOccupancy(owner string, told loads) {
+func (r *Router) applyFullOccupancy(owner string, reported loads) {
 	for shard, o := range r.localShardOwners() {
 		if o != owner {
 			continue
 		}
 		for _, b := range r.owners.shards[shard] {
-			r.applyOwnerLoad(b, told[b.hash])
+			r.applyOwnerLoad(b, reported[b.hash])
 		}
 	}
 }
@@ -337,8 +337,8 @@
 	r.owners.expireAt = r.now + minOccupancyInterval
 	stale := occupancyStaleIntervals * r.occupancyInterval()
 	for _, b := range r.allBackends() {
-		told := b.Zone != r.opt.Zone && !r.zoneUnreachable(b.Zone) // reported in its zone's summaries, though not in each
-		if b.useOwnerReport && !told && r.now-b.ownerReportedAt > stale {
+		inSummaries := b.Zone != r.opt.Zone && !r.zoneUnreachable(b.Zone) // reported in its zone's summaries, though not in each
+		if b.useOwnerReport && !inSummaries && r.now-b.ownerReportedAt > stale {
 			b.useOwnerReport = false
 		}
 	}
--- a/internal/router/place.go
+++ b/internal/router/place.go
@@ -154,7 +154,7 @@
 type selection struct {
 	backend *backend
 	class   class
-	grounds DecisionBasis
+	basis   DecisionBasis
 }
 
 func (r *Router) newSelector(q *request, where scope) selector {
@@ -168,15 +168,15 @@
 // selectBackend chooses a backend server in any zone by the load known to this host.
 func (r *Router) selectBackend(q *request) (*backend, DecisionBasis) {
 	c := r.selectInScope(q, scopeAll)
-	c.grounds.ViewAge = r.oldestHeartbeatAge()
-	return c.backend, c.grounds
+	c.basis.ViewAge = r.oldestHeartbeatAge()
+	return c.backend, c.basis
 }
 
-// selectInScope filters and scores the backend servers in scope and picks one. If none has room, the
-// grounds describe the least loaded one. The caller sets the age of the load data.
+// selectInScope filters and scores the backend servers in scope and picks one. If none has room, the basis
+// describes the least loaded one. The caller sets the age of the load data.
 func (r *Router) selectInScope(q *request, where scope) selection {
 	s := r.newSelector(q, where)
-	g := r.grounds()
+	g := r.basis()
 	g.InFlight = -1
 	byClass := &r.candidates
 	for c := range byClass {
@@ -202,7 +202,7 @@
 			return selection{b, class(c), g}
 		}
 	}
-	return selection{grounds: g}
+	return selection{basis: g}
 }
 
 func (s *selector) backends() []*backend {
--- a/internal/router/predict.go
+++ b/internal/router/predict.go
@@ -27,15 +27,15 @@
 // prompt delays every stream beside it. Compared with minimizing (requests held + 1) x event interval, this
 // completes 0.02 to 0.05 more of the weighted requests on days without continuous overload.
 func (s *selector) predictedWait(b *backend, held int) time.Duration {
-	pace := s.eventInterval(b)
+	interval := s.eventInterval(b)
 	if s.q.Route.Kind != routing.Streaming || s.q.PromptTok == 0 {
-		return time.Duration(held+1) * pace
+		return time.Duration(held+1) * interval
 	}
-	read := b.prefillPerToken
-	if read == 0 {
-		read = s.svc.expectedPrefillPerToken()
+	perToken := b.prefillPerToken
+	if perToken == 0 {
+		perToken = s.svc.expectedPrefillPerToken()
 	}
-	wait := pace + time.Duration(b.prefillBacklog(s.r.now)+s.q.PromptTok)*read
+	wait := interval + time.Duration(b.prefillBacklog(s.r.now)+s.q.PromptTok)*perToken
 	if over := held + 1 - b.Slots; over > 0 && b.Slots > 0 {
 		wait += time.Duration(over) * s.slotReleaseInterval(b)
 	}
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -30,22 +30,22 @@
 // runsTrial reports whether this host runs the trials of a quarantined request: the first by rendezvous hashing in
 // the first reachable zone. While views differ there may be two such hosts.
 func (r *Router) runsTrial(d quarantine.Digest) bool {
-	purpose := "tries " + d.String()
-	mine := roleScore(r.opt.Zone, purpose)
+	role := "tries " + d.String()
+	mine := roleScore(r.opt.Zone, role)
 	for _, zone := range r.otherZones() {
-		if !r.zoneUnreachable(zone) && roleScore(zone, purpose) < mine {
+		if !r.zoneUnreachable(zone) && roleScore(zone, role) < mine {
 			return false
 		}
 	}
-	return r.hasRole(purpose, 1)
+	return r.hasRole(role, 1)
 }
 
 // refuseQuarantined ends a quarantined request. It is reported as refused only if it has not run.
-func (r *Router) refuseQuarantined(q *request, back time.Duration) {
+func (r *Router) refuseQuarantined(q *request, retryAfter time.Duration) {
 	r.finish(q)
 	if q.ran {
 		r.emit(GiveUp{ID: q.ID, Cause: Quarantined, DeliverFailure: true})
 		return
 	}
-	r.emit(Refuse{ID: q.ID, Cause: Quarantined, RetryAfter: back, Basis: r.grounds()})
+	r.emit(Refuse{ID: q.ID, Cause: Quarantined, RetryAfter: retryAfter, Basis: r.basis()})
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -317,7 +317,7 @@
 	}
 	b.post(Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: cfg}})
 	for _, q := range b.r.quotas {
-		ok, _ := q.Admit(b.now, 10, b.r.hostPart())
+		ok, _ := q.Admit(b.now, 10, b.r.hostScope())
 		require.True(t, ok)
 	}
 	require.Len(t, b.r.spentToSend(), workspaces, "all have changed")
@@ -331,7 +331,7 @@
 		}
 	}
 	require.Len(t, named, workspaces, "what was lost is told again")
-	ok, _ := b.r.quotas["w123"].Admit(b.now, 10, b.r.hostPart())
+	ok, _ := b.r.quotas["w123"].Admit(b.now, 10, b.r.hostScope())
 	require.True(t, ok)
 	names := []string{}
 	for _, s := range b.r.spentToSend() {
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -55,23 +55,23 @@
 	}
 	switch owner := r.quotaOwner(q.Workspace.Name); owner {
 	case "":
-		r.chargeLocally(q, r.hostPart())
+		r.chargeLocally(q, r.hostScope())
 	case r.opt.Host:
-		r.chargeLocally(q, r.zonePart())
+		r.chargeLocally(q, r.zoneScope())
 	default:
 		r.requestQuota(q, owner)
 	}
 }
 
-// hostPart returns the quota part of a host that decides only for itself, zonePart that of one that decides for
-// the reachable hosts of its zone.
-func (r *Router) hostPart() limit.Scope {
-	known, heard := r.countHosts()
-	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(heard) / float64(known)}
+// hostScope returns the scope of a host that decides for itself only, zoneScope that of one that decides for the
+// reachable hosts of its zone.
+func (r *Router) hostScope() limit.Scope {
+	known, reachable := r.countHosts()
+	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(reachable) / float64(known)}
 }
 
-func (r *Router) zonePart() limit.Scope {
-	p := r.hostPart()
+func (r *Router) zoneScope() limit.Scope {
+	p := r.hostScope()
 	_, p.Members = r.countDirectHosts()
 	return p
 }
@@ -107,28 +107,28 @@
 }
 
 // chargeLocally decides by this host's own view of the quota.
-func (r *Router) chargeLocally(q *request, part limit.Scope) {
+func (r *Router) chargeLocally(q *request, scope limit.Scope) {
 	quota := r.quotas[q.Workspace.Name]
-	ok, back := r.admit(quota, q.Cost, part)
+	ok, retryAfter := r.admit(quota, q.Cost, scope)
 	if !ok {
 		delete(r.requests, q.ID)
-		r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: back, Basis: r.quotaGrounds(q, quota)})
+		r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: retryAfter, Basis: r.quotaBasis(q, quota)})
 		return
 	}
 	q.charged = true
 	r.dispatchAdmitted(q)
 }
 
-func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Scope) (ok bool, back time.Duration) {
-	ok, back = quota.Admit(r.now, cost, part)
+func (r *Router) admit(quota *limit.Quota, cost float64, scope limit.Scope) (ok bool, retryAfter time.Duration) {
+	ok, retryAfter = quota.Admit(r.now, cost, scope)
 	if quota.NearlyExhausted() {
 		r.quotaLowUntil = r.now + quotaLowDuration
 	}
-	return ok, back
+	return ok, retryAfter
 }
 
-func (r *Router) quotaGrounds(q *request, quota *limit.Quota) DecisionBasis {
-	g := r.grounds()
+func (r *Router) quotaBasis(q *request, quota *limit.Quota) DecisionBasis {
+	g := r.basis()
 	g.ViewAge = r.oldestHeartbeatAge()
 	g.Quota.Cost = q.Cost
 	g.Quota.Remaining, g.Quota.OwnShare = quota.Remaining()
@@ -159,8 +159,8 @@
 	}
 	answer := &gossippb.Charged{Number: c.Number, Unknown: true}
 	if known && slices.Contains(r.quotaOwners(c.Workspace), r.opt.Host) {
-		ok, back := r.admit(quota, cost, r.zonePart())
-		answer.Unknown, answer.Admitted, answer.BackMs = false, ok, uint32(max(0, back.Milliseconds()))
+		ok, retryAfter := r.admit(quota, cost, r.zoneScope())
+		answer.Unknown, answer.Admitted, answer.BackMs = false, ok, uint32(max(0, retryAfter.Milliseconds()))
 		answer.Left, answer.Own = quota.Remaining()
 	}
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Charged: answer}})
@@ -196,7 +196,7 @@
 	}
 	q.quotaCall = nil
 	if quota := r.quotas[c.workspace]; quota != nil {
-		quota.NoteRemoteDecision(r.now, c.cost, r.hostPart())
+		quota.NoteRemoteDecision(r.now, c.cost, r.hostScope())
 	}
 	if a.Admitted {
 		q.charged, q.chargedBy = true, from
@@ -204,7 +204,7 @@
 		return
 	}
 	delete(r.requests, q.ID)
-	g := r.grounds()
+	g := r.basis()
 	g.Owner, g.ViewAge = from, r.now-c.sentAt
 	g.Quota = QuotaBasis{Cost: q.Cost, Remaining: a.Left, OwnShare: a.Own}
 	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Basis: g})
@@ -216,7 +216,7 @@
 		r.dispatchAdmitted(q) // the quota was removed meanwhile
 		return
 	}
-	r.chargeLocally(q, r.hostPart())
+	r.chargeLocally(q, r.hostScope())
 }
 
 // expireQuotaRequests passes requests whose owner did not reply in time to the next owner, or decides locally.
@@ -231,11 +231,11 @@
 
 // chargeAtNextOwner calls the next owner if one does not decide, or decides locally.
 func (r *Router) chargeAtNextOwner(q *request) {
-	asked := q.quotaCall
+	previous := q.quotaCall
 	q.quotaCall = nil
-	switch next := r.nextQuotaOwner(asked); {
-	case next == r.opt.Host && r.quotas[asked.workspace] != nil:
-		r.chargeLocally(q, r.zonePart())
+	switch next := r.nextQuotaOwner(previous); {
+	case next == r.opt.Host && r.quotas[previous.workspace] != nil:
+		r.chargeLocally(q, r.zoneScope())
 	case next != "" && next != r.opt.Host:
 		r.requestQuota(q, next)
 	default:
@@ -244,9 +244,9 @@
 }
 
 // nextQuotaOwner returns the owner after the one that was called, or "" if none is expected to reply.
-func (r *Router) nextQuotaOwner(asked *quotaRequest) string {
-	owners := r.quotaOwners(asked.workspace)
-	next := slices.Index(owners, asked.owner) + 1
+func (r *Router) nextQuotaOwner(previous *quotaRequest) string {
+	owners := r.quotaOwners(previous.workspace)
+	next := slices.Index(owners, previous.owner) + 1
 	if next == 0 || next >= len(owners) {
 		return ""
 	}
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -12,7 +12,7 @@
 	// which go to servers that are down.
 	maxRejects = 4
 	maxSends   = 8
-	// retryAfterDivisor: callers honor a retry delay of up to a third of their remaining time.
+	// retryAfterDivisor limits the retry delay to a third of the caller's remaining time. Callers do not wait longer.
 	retryAfterDivisor = 3
 	// minRetryAfter is the base of the retry delay, retryAfterPerRank is added for each rank of priority, and
 	// retryAfterJitter is the range of the random part, so that callers refused together do not retry together.
@@ -83,7 +83,7 @@
 		return
 	}
 	if retryAfter, yes := r.checkQuarantine(q); yes {
-		r.emit(Refuse{ID: e.ID, Cause: Quarantined, RetryAfter: retryAfter, Basis: r.grounds()})
+		r.emit(Refuse{ID: e.ID, Cause: Quarantined, RetryAfter: retryAfter, Basis: r.basis()})
 		return
 	}
 	q.service = r.chooseService(e.Route, e.Workspace)
@@ -112,8 +112,8 @@
 // dispatch chooses a backend server for a request and sends it there, or refuses it.
 func (r *Router) dispatch(q *request) {
 	q.fullOwners, q.decideLocally, q.owner = nil, false, ""
-	if back, yes := r.checkQuarantine(q); yes {
-		r.refuseQuarantined(q, back)
+	if retryAfter, yes := r.checkQuarantine(q); yes {
+		r.refuseQuarantined(q, retryAfter)
 		return
 	}
 	if r.usesOwners() {
@@ -164,8 +164,8 @@
 	return max(1, min(maxIdleConns, int(idleConnShare*float64(s.MaxConns))/r.hostCount()))
 }
 
-// grounds returns the grounds that all decisions share: the configuration version and the store's era.
-func (r *Router) grounds() DecisionBasis {
+// basis returns what all decisions are based on: the configuration version and the store's era.
+func (r *Router) basis() DecisionBasis {
 	return DecisionBasis{Version: r.version(), Era: r.updates.completeTo.Era}
 }
 
@@ -190,8 +190,8 @@
 // retryAfter returns the delay after which a refused caller should retry: the shortest for the most urgent,
 // with jitter, and within the part of its remaining time that a caller is willing to wait.
 func (r *Router) retryAfter(q *request) time.Duration {
-	back := minRetryAfter + time.Duration(q.Rank*float64(retryAfterPerRank)) + time.Duration(r.rng.Float64()*float64(retryAfterJitter))
-	return max(0, min(back, (q.Deadline-r.now)/retryAfterDivisor))
+	delay := minRetryAfter + time.Duration(q.Rank*float64(retryAfterPerRank)) + time.Duration(r.rng.Float64()*float64(retryAfterJitter))
+	return max(0, min(delay, (q.Deadline-r.now)/retryAfterDivisor))
 }
 
 // callerGone ends a request whose caller disconnected. The proxy stops the call itself.
@@ -202,7 +202,7 @@
 	}
 }
 
-func (r *Router) handleEnded(e DispatchEnded) {
+func (r *Router) handleDispatchEnded(e DispatchEnded) {
 	q, ok := r.requests[e.ID]
 	if !ok {
 		return
@@ -242,10 +242,10 @@
 	switch e.Outcome {
 	case Answered:
 		b.succeeded(q.sentAt)
-		pace := observedInterval(q, e)
-		b.learnEventInterval(pace)
+		interval := observedInterval(q, e)
+		b.learnEventInterval(interval)
 		svc := r.serviceState(b.Service)
-		svc.learnEventInterval(pace)
+		svc.learnEventInterval(interval)
 		svc.learnStreamLength(e.Events)
 	case NotSent:
 		if e.Fault {
@@ -273,7 +273,7 @@
 		q.rejects++
 	}
 	if q.rejects >= maxRejects || q.attempt >= maxSends || r.now >= q.Deadline || (reached && !r.retryBudget(q.service).Spend(r.now, r.hostCount())) {
-		r.refuse(q, r.grounds())
+		r.refuse(q, r.basis())
 		return
 	}
 	r.dispatch(q)
@@ -306,16 +306,16 @@
 		r.emit(StallDecision{ID: id})
 		return
 	}
-	move := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
-	if move {
-		held := q.tried
+	reassign := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
+	if reassign {
+		triedBefore := q.tried
 		q.tried = append(q.tried[:len(q.tried):len(q.tried)], q.backend.ID)
 		b, _ := r.selectBackend(q)
-		q.tried = held
-		move = b != nil && r.retryBudget(q.service).Spend(r.now, r.hostCount())
+		q.tried = triedBefore
+		reassign = b != nil && r.retryBudget(q.service).Spend(r.now, r.hostCount())
 	}
-	q.retryPaid = move
-	r.emit(StallDecision{ID: id, Reassign: move})
+	q.retryPaid = reassign
+	r.emit(StallDecision{ID: id, Reassign: reassign})
 }
 
 // prefillDone removes a request's prompt from its backend server's prefill backlog.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -134,21 +134,21 @@
 	case Submit:
 		r.submit(e)
 	case StreamStarted:
-		r.handleBegan(e)
+		r.handleStreamStarted(e)
 	case StreamProgress:
-		r.handlePaced(e)
+		r.handleStreamProgress(e)
 	case Stalled:
 		r.handleStalled(e.ID)
 	case CallerLeft:
 		r.callerGone(e.ID)
 	case DispatchEnded:
-		r.handleEnded(e)
+		r.handleDispatchEnded(e)
 	case HeartbeatReceived:
 		r.handleHeartbeat(e.Heartbeat)
 	case SlotRequestReceived:
 		r.handleSlotRequest(e.From, e.Ask)
 	case SlotOfferReceived:
-		r.handleOffer(e.From, e.Offer)
+		r.handleSlotOffer(e.From, e.Offer)
 	case ReportReceived:
 		r.handleReport(e.From, e.Report)
 	case OccupancyReceived:
@@ -166,7 +166,7 @@
 	case BackendAnnouncement:
 		r.handleAnnouncement(e)
 	case ProbeResult:
-		r.handleChecked(e)
+		r.handleProbeResult(e)
 	case SettingsChanged:
 		r.applySettings(e)
 	case Drain:
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -43,7 +43,7 @@
 }
 
 func (s *service) learnPrefill(read time.Duration) {
-	s.prefillPerToken = smoothPrefillTime(s.prefillPerToken, read)
+	s.prefillPerToken = smoothPrefill(s.prefillPerToken, read)
 }
 
 // learnStreamLength adds the number of events of a stream; zero means that it was none.
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -14,51 +14,51 @@
 	// minPromptTokens is the shortest prompt whose time to first event is used as a prefill sample. With shorter
 	// ones, network latency and the rest of a decoding step dominate.
 	minPromptTokens = 300
-	// maxPrefillTime limits the prefill time per token accepted from other hosts. Engines need tens of microseconds.
-	maxPrefillTime = 10 * time.Millisecond
+	// maxPrefillPerToken limits the prefill time per token accepted from other hosts. Engines need tens of microseconds.
+	maxPrefillPerToken = 10 * time.Millisecond
 	// speedChangeThreshold is the relative change of a speed that is reported to other hosts.
 	speedChangeThreshold = 0.3
 )
 
 // speed is the observed speed of an engine: the interval between events and the prefill time per prompt token.
-type speed struct{ interval, prefillTime time.Duration }
+type speed struct{ interval, prefillPerToken time.Duration }
 
 func (b *backend) speed() speed { return speed{b.interval, b.prefillPerToken} }
 
 // differsFrom reports whether a speed differs enough from the one last reported to be reported again.
-func (s speed) differsFrom(told speed) bool {
-	off := func(a, b time.Duration) bool {
+func (s speed) differsFrom(reported speed) bool {
+	changed := func(a, b time.Duration) bool {
 		d := float64(a - b)
 		return a > 0 && (d > speedChangeThreshold*float64(b) || -d > speedChangeThreshold*float64(b))
 	}
-	return off(s.interval, told.interval) || off(s.prefillTime, told.prefillTime)
+	return changed(s.interval, reported.interval) || changed(s.prefillPerToken, reported.prefillPerToken)
 }
 
-// handleBegan processes the first event of a stream: its prompt has been prefilled.
-func (r *Router) handleBegan(e StreamStarted) {
+// handleStreamStarted processes the first event of a stream: its prompt has been prefilled.
+func (r *Router) handleStreamStarted(e StreamStarted) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil || q.prefillTokens == 0 {
 		return
 	}
-	done := q.prefillTokens
+	prefilled := q.prefillTokens
 	q.prefillDone()
 	r.markLoadChanged()
-	var read time.Duration
+	var perToken time.Duration
 	if q.PromptTok >= minPromptTokens && !q.queued && e.First > 0 {
-		read = e.First / time.Duration(q.PromptTok)
-		q.backend.learnPrefillTime(read)
-		r.serviceState(q.service).learnPrefill(read)
+		perToken = e.First / time.Duration(q.PromptTok)
+		q.backend.learnPrefill(perToken)
+		r.serviceState(q.service).learnPrefill(perToken)
 	}
 	if to := r.reportTarget(q); to != "" {
-		rep := q.newReport(0, -done)
-		rep.ReadNs = uint32(read.Nanoseconds())
+		rep := q.newReport(0, -prefilled)
+		rep.ReadNs = uint32(perToken.Nanoseconds())
 		r.sendReport(to, rep)
 	}
 }
 
-// handlePaced applies the interval between a stream's first events, so that a slow engine is detected before its
+// handleStreamProgress applies the interval between a stream's first events, so that a slow engine is detected before its
 // first stream ends.
-func (r *Router) handlePaced(e StreamProgress) {
+func (r *Router) handleStreamProgress(e StreamProgress) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil {
 		return
@@ -69,11 +69,11 @@
 	q.backend.learnEventInterval(e.Interval)
 }
 
-func (b *backend) learnPrefillTime(read time.Duration) {
-	b.prefillPerToken = smoothPrefillTime(b.prefillPerToken, read)
+func (b *backend) learnPrefill(perToken time.Duration) {
+	b.prefillPerToken = smoothPrefill(b.prefillPerToken, perToken)
 }
 
-func smoothPrefillTime(known, seen time.Duration) time.Duration {
+func smoothPrefill(known, seen time.Duration) time.Duration {
 	switch {
 	case known == 0:
 		return seen
@@ -92,22 +92,22 @@
 			continue
 		}
 		b.reportedSpeed = b.speed()
-		out = append(out, b.speedMessage())
+		out = append(out, b.speedToProto())
 	}
 	return out
 }
 
-func (b *backend) speedMessage() *gossippb.Speed {
+func (b *backend) speedToProto() *gossippb.Speed {
 	return &gossippb.Speed{Backend: b.hash, IntervalUs: uint32(b.interval.Microseconds()), ReadNs: uint32(b.prefillPerToken.Nanoseconds())}
 }
 
 // applyOwnerSpeed applies the speed reported by a backend server's owner, which gets reports of all requests there.
 func (b *backend) applyOwnerSpeed(s *gossippb.Speed) {
-	if pace := time.Duration(s.IntervalUs) * time.Microsecond; pace > 0 && pace <= maxEventInterval {
-		b.interval = pace
+	if interval := time.Duration(s.IntervalUs) * time.Microsecond; interval > 0 && interval <= maxEventInterval {
+		b.interval = interval
 	}
-	if read := time.Duration(s.ReadNs); read > 0 && read <= maxPrefillTime {
-		b.prefillPerToken = read
+	if perToken := time.Duration(s.ReadNs); perToken > 0 && perToken <= maxPrefillPerToken {
+		b.prefillPerToken = perToken
 	}
 }
 
@@ -121,8 +121,8 @@
 		if b.samples == 0 {
 			b.interval = time.Duration(s.IntervalUs) * time.Microsecond
 		}
-		if read := time.Duration(s.ReadNs); b.prefillPerToken == 0 && read <= maxPrefillTime {
-			b.prefillPerToken = read
+		if perToken := time.Duration(s.ReadNs); b.prefillPerToken == 0 && perToken <= maxPrefillPerToken {
+			b.prefillPerToken = perToken
 		}
 	}
 }
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -90,8 +90,8 @@
 	return q.Workspace.Name
 }
 
-// handleChecked processes whether a backend server whose answer broke can still be reached.
-func (r *Router) handleChecked(e ProbeResult) {
+// handleProbeResult processes whether a backend server whose answer broke can still be reached.
+func (r *Router) handleProbeResult(e ProbeResult) {
 	b, ok := r.backends[e.ID]
 	if !ok || b.Start != e.Start {
 		return
@@ -125,7 +125,7 @@
 	if !r.suspects.ledger.Observe(r.now, run.digest, run.workspace, quarantine.End{Backend: b.hash, At: run.at}) {
 		return
 	}
-	r.emit(Note{What: "backend server ended with a request in hand", Subject: b.ID, Detail: run.digest.String() + " " + run.workspace})
+	r.emit(Note{What: "backend server ended with a request in flight", Subject: b.ID, Detail: run.digest.String() + " " + run.workspace})
 	r.logQuarantineChanges()
 	r.heartbeatPending = true // sends the next heartbeat early
 }
@@ -147,9 +147,9 @@
 	r.suspects.quarantined = now
 }
 
-func sortedDigests(set map[quarantine.Digest]bool) []quarantine.Digest {
+func sortedDigests(digests map[quarantine.Digest]bool) []quarantine.Digest {
 	var out []quarantine.Digest
-	for d := range set {
+	for d := range digests {
 		out = append(out, d)
 	}
 	slices.SortFunc(out, func(a, b quarantine.Digest) int { return slices.Compare(a[:], b[:]) })
