--- a/internal/router/beats_test.go
+++ b/internal/router/beats_test.go
@@ -9,7 +9,7 @@
 	"fireflyshift/internal/gossip/gossippb"
 )
 
-func beatsIn(list []Effect) int { return len(effectsOf[SendHeartbeat](list)) }
+func heartbeatCount(list []Effect) int { return len(effectsOf[SendHeartbeat](list)) }
 
 // On a heavy day the hosts of a zone choose among the few engines that look free. With counts that
 // were told every 100 to 150 ms they all chose the same ones, and a quarter of the streams began
@@ -21,14 +21,14 @@
 	b.now += minChangeGap
 	send := func() int {
 		b.next++
-		return beatsIn(b.post(Submit{ID: b.next, Route: urgent, Rank: 0, OutputTok: 10, Deadline: b.now + time.Second}))
+		return heartbeatCount(b.post(Submit{ID: b.next, Route: urgent, Rank: 0, OutputTok: 10, Deadline: b.now + time.Second}))
 	}
 	require.Equal(t, 1, send())
 	b.now += minChangeGap / 2
 	require.Zero(t, send())
-	require.Zero(t, beatsIn(b.post(Tick{})))
+	require.Zero(t, heartbeatCount(b.post(Tick{})))
 	b.now += minChangeGap / 2
-	require.Equal(t, 1, beatsIn(b.post(Tick{})), "the rest of the burst")
+	require.Equal(t, 1, heartbeatCount(b.post(Tick{})), "the rest of the burst")
 	b.now += minChangeGap
-	require.Zero(t, beatsIn(b.post(Tick{})), "nothing has changed since")
+	require.Zero(t, heartbeatCount(b.post(Tick{})), "nothing has changed since")
 }
--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -78,7 +78,7 @@
 	}
 	for _, h := range hosts {
 		h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: h.r.opt.Incarnation + 1000, Seed: h.r.opt.Seed + 1000, Seeds: h.r.opt.Seeds, Bounds: coldBounds})
-		h.born = f.now
+		h.startedAt = f.now
 		f.post(h, all)
 	}
 }
@@ -139,7 +139,7 @@
 func TestHostsThatAreCutOffRushNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
-	f.lost = func(from, to string, _ *gossippb.Packet) bool { return true }
+	f.drops = func(from, to string, _ *gossippb.Packet) bool { return true }
 	f.run(5*time.Second, 280)
 	at := f.now
 	f.back(2, f.hosts...)
@@ -157,7 +157,7 @@
 		perSecond := rapid.SampledFrom([]int{50, 200, 500}).Draw(rt, "requests a second")
 		f := newColdFleet(t, zones, hosts, 3)
 		cut := rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(rt, "share of datagrams that are lost")
-		f.lost = func(string, string, *gossippb.Packet) bool { return f.rng.Float64() < cut }
+		f.drops = func(string, string, *gossippb.Packet) bool { return f.rng.Float64() < cut }
 		f.run(time.Second, perSecond)
 		at := f.now
 		f.back(0, f.hosts...)
@@ -165,7 +165,7 @@
 		again := f.zoneHosts(0)[:rapid.IntRange(0, hosts).Draw(rt, "hosts that restart")]
 		for id, run := range f.runs {
 			if slices.Contains(again, run.host) {
-				f.held[run.engine]--
+				f.streams[run.engine]--
 				delete(f.runs, id)
 			}
 		}
@@ -207,7 +207,7 @@
 func TestOwnersOfferNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 1, 20, 23)
 	asker := f.hosts[0]
-	question, owner := f.question(asker)
+	question, owner := f.requestSlot(asker)
 	f.back(0, f.byIP[owner])
 	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
 	require.Nil(t, offers[0].Place)
@@ -217,7 +217,7 @@
 func TestOffersOfColdServersAreNotUsed(t *testing.T) {
 	f := newColdFleet(t, 1, 20, 23)
 	asker := f.hosts[0]
-	question, owner := f.question(asker)
+	question, owner := f.requestSlot(asker)
 	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
 	require.NotNil(t, offers[0].Place)
 	f.back(0, asker)
@@ -225,7 +225,7 @@
 	if d, ok := has[Dispatch](out); ok {
 		require.NotEqual(t, offers[0].Place.Backend, asker.r.backends[d.Backend.ID].hash)
 	}
-	require.True(t, givesBack(out, offers[0].Place.Backend))
+	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
 
 // A registration tells how long a backend server is still cold, and a later one that it is warm.
@@ -235,7 +235,7 @@
 		Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: testColdRate}}}}})
 	ch := changeOf("a", 60, false)
 	ch.Cold = 2 * time.Second
-	registers(r, time.Second, ch)
+	register(r, time.Second, ch)
 	require.True(t, r.backends["a"].cold(r.now))
 	require.Equal(t, "cold", r.View().Backends[0].State)
 	r.Reduce(2*time.Second, Tick{})
@@ -243,9 +243,9 @@
 	r.Reduce(3500*time.Millisecond, Tick{})
 	require.False(t, r.backends["a"].cold(r.now))
 	ch.Revision, ch.Cold = rev(61), time.Minute
-	registers(r, 4*time.Second, ch)
+	register(r, 4*time.Second, ch)
 	require.True(t, r.backends["a"].cold(r.now))
-	registers(r, 5*time.Second, changeOf("a", 62, false))
+	register(r, 5*time.Second, changeOf("a", 62, false))
 	require.False(t, r.backends["a"].cold(r.now))
 }
 
@@ -258,7 +258,7 @@
 			Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: b.rate}}}}})
 		ch := changeOf("a", 60, false)
 		ch.Cold = time.Minute
-		registers(r, 5*time.Second, ch)
+		register(r, 5*time.Second, ch)
 		var sent []time.Duration
 		id := uint64(0)
 		for now := 5 * time.Second; now < 15*time.Second; now += 10 * time.Millisecond {
@@ -284,6 +284,6 @@
 	r := lone(t, "a")
 	ch := changeOf("a", 60, false)
 	ch.Cold = time.Minute
-	registers(r, time.Second, ch)
+	register(r, time.Second, ch)
 	require.False(t, r.backends["a"].cold(r.now))
 }
--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -63,8 +63,8 @@
 	r := lone(t, "leaves", "left", "stays")
 	drain := changeOf("leaves", 60, false)
 	drain.Draining = true
-	registers(r, 12*time.Second, drain)
-	registers(r, 12*time.Second, changeOf("left", 61, true))
+	register(r, 12*time.Second, drain)
+	register(r, 12*time.Second, changeOf("left", 61, true))
 	r.Reduce(13*time.Second, listing(inEra(1, 20), servers(inEra(1, 10), "leaves", "left", "stays")))
 	require.True(t, usable(r, "stays"))
 	require.False(t, usable(r, "leaves"))
@@ -78,8 +78,8 @@
 // within the time that the operators state is gone.
 func TestLostServersHaveTimeToWriteAgain(t *testing.T) {
 	r := lone(t, "old")
-	registers(r, time.Second, changeOf("lives", 51, false))
-	registers(r, time.Second, changeOf("ended", 52, false))
+	register(r, time.Second, changeOf("lives", 51, false))
+	register(r, time.Second, changeOf("ended", 52, false))
 	at := 12 * time.Second
 	out := r.Reduce(at, listing(inEra(1, 20), servers(inEra(1, 10), "old")))
 	note := noteOf(out, "store restored from an older copy")
@@ -117,13 +117,13 @@
 	pull, ok := has[Pull](refused.Reduce(2*time.Second+pullDelay, HeartbeatReceived{beat(2)}))
 	require.True(t, ok)
 	require.Equal(t, rev(50), pull.Revision)
-	news := reader.Snapshot(pull.Since)
-	data, err := json.Marshal(news)
+	update := reader.Snapshot(pull.Since)
+	data, err := json.Marshal(update)
 	require.NoError(t, err)
-	var told Update
-	require.NoError(t, json.Unmarshal(data, &told))
-	told.From = "10.0.0.9"
-	out := refused.Reduce(3*time.Second, told)
+	var received Update
+	require.NoError(t, json.Unmarshal(data, &received))
+	received.From = "10.0.0.9"
+	out := refused.Reduce(3*time.Second, received)
 	require.Equal(t, "10.0.0.9", noteOf(out, "store restored from an older copy").Subject)
 	require.Equal(t, inEra(1, 20), refused.updates.completeTo)
 	require.True(t, usable(refused, "a"))
@@ -150,7 +150,7 @@
 		z.post(h, listing(inEra(1, 20), servers(inEra(1, 10), "e001")))
 	}
 	pulls := map[string]bool{}
-	z.pulled = func(from string, p Pull) { pulls[from] = pulls[from] || p.Revision != (routing.Revision{}) }
+	z.onPull = func(from string, p Pull) { pulls[from] = pulls[from] || p.Revision != (routing.Revision{}) }
 	z.run(1500*time.Millisecond, 0)
 	require.Len(t, pulls, 22, "all others ask for what has come since")
 }
--- a/internal/router/evacuations_test.go
+++ b/internal/router/evacuations_test.go
@@ -10,13 +10,13 @@
 	"fireflyshift/internal/routing"
 )
 
-func evacuates(zone string, revision routing.Revision) Update {
+func evacuationStarted(zone string, revision routing.Revision) Update {
 	return Update{FromStore: true, After: rev(50), AsOf: revision, Revision: revision,
 		Changes: routing.Changes{Evacuations: []routing.Evacuation{{Zone: zone, Revision: revision}}}}
 }
 
-func takesBack(zone string, revision routing.Revision) Update {
-	n := evacuates(zone, revision)
+func evacuationEnded(zone string, revision routing.Revision) Update {
+	n := evacuationStarted(zone, revision)
 	n.Evacuations[0].Ended = true
 	return n
 }
@@ -27,11 +27,11 @@
 	for i, id := range []string{"a", "b", "c"} {
 		ch := changeOf(id, uint64(60+i), false)
 		ch.Zone = map[string]string{"a": "z0", "b": "z0", "c": "z1"}[id]
-		registers(r, time.Second, ch)
+		register(r, time.Second, ch)
 	}
 	d := dispatchOf(t, r.Reduce(2*time.Second, Submit{ID: 1, Route: urgent, Deadline: time.Minute}))
 	require.Equal(t, "z0", d.Backend.Zone)
-	r.Reduce(3*time.Second, evacuates("z0", rev(70)))
+	r.Reduce(3*time.Second, evacuationStarted("z0", rev(70)))
 	second := dispatchOf(t, r.Reduce(4*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
 	require.Equal(t, "c", second.Backend.ID)
 	_, refused := has[GiveUp](r.Reduce(5*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
@@ -40,16 +40,16 @@
 	require.Equal(t, "evacuated", r.View().Backends[0].State)
 	joins := changeOf("d", 70, false)
 	joins.Revision = rev(71)
-	registers(r, 6*time.Second, joins)
+	register(r, 6*time.Second, joins)
 	for id := uint64(10); id < 20; id++ {
 		require.Equal(t, "c", dispatchOf(t, submitted(r, id, 6*time.Second)).Backend.ID, "a server that joins the zone gets nothing either")
 		r.Reduce(6*time.Second, CallerLeft{ID: id})
 	}
-	r.Reduce(7*time.Second, evacuates("z1", rev(72)))
+	r.Reduce(7*time.Second, evacuationStarted("z1", rev(72)))
 	back, refused := has[Refuse](submitted(r, 3, 8*time.Second))
 	require.True(t, refused)
 	require.Positive(t, back.RetryAfter)
-	r.Reduce(9*time.Second, takesBack("z0", rev(73)))
+	r.Reduce(9*time.Second, evacuationEnded("z0", rev(73)))
 	require.Equal(t, "z0", dispatchOf(t, submitted(r, 4, 10*time.Second)).Backend.Zone)
 }
 
@@ -57,34 +57,34 @@
 func TestOffersOfAnEvacuatedZoneAreNotUsed(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
-	question, owner := z.question(asker)
+	question, owner := z.requestSlot(asker)
 	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 	require.NotNil(t, offers[0].Place)
-	asker.r.Reduce(z.now, evacuates("z0", rev(70)))
+	asker.r.Reduce(z.now, evacuationStarted("z0", rev(70)))
 	out := asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 	_, sent := has[Dispatch](out)
 	require.False(t, sent)
-	require.True(t, givesBack(out, offers[0].Place.Backend))
+	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
 
 // The store tells two hosts of one zone only; it refuses the others, and some start after that. All of a large fleet heed the
 // request within a second and a half, with every tenth datagram lost, and its end.
 func TestEvacuationsReachAllHosts(t *testing.T) {
 	z := newZones(t, 3, 17, 5)
-	z.lost = func(string, string, *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
+	z.drops = func(string, string, *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
 	z.run(time.Second, 50)
 	for _, h := range z.hosts[:2] {
-		z.post(h, evacuates("z1", rev(70)))
+		z.post(h, evacuationStarted("z1", rev(70)))
 	}
 	late := z.hosts[20]
 	late.r = New(Options{Host: late.ip, Zone: late.zone, Incarnation: 999, Seed: 999, Seeds: []string{"10.0.0.1", "10.0.0.2"}})
-	late.born = z.now
+	late.startedAt = z.now
 	z.run(1500*time.Millisecond, 50)
 	for _, h := range z.hosts {
 		require.True(t, h.r.evacuated("z1"), "%s", h.ip)
 	}
 	for _, h := range z.hosts[:2] {
-		z.post(h, takesBack("z1", rev(71)))
+		z.post(h, evacuationEnded("z1", rev(71)))
 	}
 	z.run(1500*time.Millisecond, 50)
 	for _, h := range z.hosts {
@@ -95,7 +95,7 @@
 // Zone mates hear of it from each other alone.
 func TestZoneMatesTellEvacuations(t *testing.T) {
 	z := newZone(t, 20, 5)
-	z.post(z.hosts[3], evacuates("z0", rev(70)))
+	z.post(z.hosts[3], evacuationStarted("z0", rev(70)))
 	z.run(1500*time.Millisecond, 0)
 	for _, h := range z.hosts {
 		require.True(t, h.r.evacuated("z0"), "%s", h.ip)
@@ -105,10 +105,10 @@
 // Words come in any order; a listing that is complete ends what it lacks, and a host that was away learns so from a peer.
 func TestEvacuationsFollowTheStoresOrder(t *testing.T) {
 	r := lone(t, "a")
-	r.Reduce(time.Second, takesBack("z0", rev(71)))
-	r.Reduce(time.Second, evacuates("z0", rev(70)))
+	r.Reduce(time.Second, evacuationEnded("z0", rev(71)))
+	r.Reduce(time.Second, evacuationStarted("z0", rev(70)))
 	require.False(t, r.evacuated("z0"))
-	r.Reduce(time.Second, evacuates("z0", rev(72)))
+	r.Reduce(time.Second, evacuationStarted("z0", rev(72)))
 	require.True(t, r.evacuated("z0"))
 	peer := lone(t, "a")
 	n := r.Snapshot(Since{})
@@ -135,12 +135,12 @@
 	}
 	r, forgotten := lone(t, "a"), lone(t, "a")
 	for _, h := range []*Router{r, forgotten} {
-		h.Reduce(time.Second, evacuates("z0", rev(70)))
+		h.Reduce(time.Second, evacuationStarted("z0", rev(70)))
 		copyOf(h, 2*time.Second)
 		h.Reduce(4*time.Second, Tick{})
 		require.True(t, h.evacuated("z0"))
 	}
-	r.Reduce(5*time.Second, evacuates("z0", routing.Revision{Era: 1, Number: 41}))
+	r.Reduce(5*time.Second, evacuationStarted("z0", routing.Revision{Era: 1, Number: 41}))
 	r.Reduce(20*time.Second, Tick{})
 	require.True(t, r.evacuated("z0"))
 	forgotten.Reduce(20*time.Second, Tick{})
@@ -151,7 +151,7 @@
 func TestServersOfAZoneTakenBackCountAsCold(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	for _, h := range f.hosts {
-		f.post(h, evacuates("z2", rev(90)))
+		f.post(h, evacuationStarted("z2", rev(90)))
 	}
 	at := f.now
 	f.run(2*time.Second, 280)
@@ -159,7 +159,7 @@
 	require.Zero(t, sent)
 	at = f.now
 	for _, h := range f.hosts {
-		f.post(h, takesBack("z2", rev(91)))
+		f.post(h, evacuationEnded("z2", rev(91)))
 	}
 	f.run(testColdFor, 1000)
 	most, _ := f.crowded(2, at, f.now)
@@ -174,7 +174,7 @@
 			Evacuations: []*gossippb.Evacuation{{Zone: formatBase36(uint64(i)), Revision: uint64(i)}}}})
 	}
 	require.LessOrEqual(t, len(r.evacuations), maxEvacuations)
-	r.Reduce(2*time.Second, takesBack("0", rev(900)))
-	r.Reduce(2*time.Second, evacuates("z0", rev(901)))
+	r.Reduce(2*time.Second, evacuationEnded("0", rev(900)))
+	r.Reduce(2*time.Second, evacuationStarted("z0", rev(901)))
 	require.True(t, r.evacuated("z0"), "those that were taken back make room")
 }
--- a/internal/router/failing_test.go
+++ b/internal/router/failing_test.go
@@ -43,10 +43,10 @@
 // and in the others.
 func TestFailingServerIsToldBeyondAnswers(t *testing.T) {
 	z := breaking(t, 1, "e022")
-	z.lost = func(_, _ string, p *gossippb.Packet) bool { return p.Ask != nil }
+	z.drops = func(_, _ string, p *gossippb.Packet) bool { return p.Ask != nil }
 	z.run(5*time.Second, 300)
 	require.LessOrEqual(t, z.broken["e022"], 15)
-	z.from = "z0" // whose work overflows to the others
+	z.originZone = "z0" // whose work overflows to the others
 	z.breaks["e037"] = 1
 	z.run(5*time.Second, 300)
 	require.LessOrEqual(t, z.broken["e037"], 15)
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -30,11 +30,11 @@
 	}
 	b.post(HeartbeatReceived{beat(1)})
 	b.now += pullDelay + time.Millisecond
-	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
-	require.Len(t, asked, 1)
-	require.Equal(t, Since{Revision: rev(50), Version: 1}, asked[0].Since)
+	pulls := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
+	require.Len(t, pulls, 1)
+	require.Equal(t, Since{Revision: rev(50), Version: 1}, pulls[0].Since)
 
-	n := peer.r.Snapshot(asked[0].Since)
+	n := peer.r.Snapshot(pulls[0].Since)
 	require.Len(t, n.Backends, 2)
 	b.post(n)
 	require.Equal(t, peer.r.digest(), b.r.digest())
@@ -90,13 +90,13 @@
 	require.NotContains(t, loads, b.r.backends["s1"].hash)
 	require.NotContains(t, loads, b.r.backends["s2"].hash)
 
-	hearer := withServers()
-	hearer.r.opt.Zone = "z1"
-	hearer.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seq: 1}})
+	receiver := withServers()
+	receiver.r.opt.Zone = "z1"
+	receiver.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seq: 1}})
 	sum.Speaker = "10.0.0.9"
-	hearer.r.opt.Host = "10.0.1.1"
-	hearer.post(RelayReceived{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
-	require.Equal(t, 5, hearer.r.backends["s0"].inFlight(), "its own one is in the sum already")
+	receiver.r.opt.Host = "10.0.1.1"
+	receiver.post(RelayReceived{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
+	require.Equal(t, 5, receiver.r.backends["s0"].inFlight(), "its own one is in the sum already")
 }
 
 // The hosts of a large fleet start together. The first readers do not yet know how many there are and
@@ -129,16 +129,16 @@
 		ch.Draining = true
 		list = append(list, ch)
 	}
-	mate := newBench(t, 17)
-	told := 0
+	peer := newBench(t, 17)
+	pushed := 0
 	for _, e := range reader.post(Update{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
 		if s, ok := e.(SendHeartbeat); ok && len(s.Heartbeat.Changes) > 0 {
-			mate.r.applyPushedChanges(s.Heartbeat.Changes)
-			told++
+			peer.r.applyPushedChanges(s.Heartbeat.Changes)
+			pushed++
 		}
 	}
-	require.Equal(t, 3, told)
-	for _, b := range mate.r.allBackends() {
+	require.Equal(t, 3, pushed)
+	for _, b := range peer.r.allBackends() {
 		require.True(t, b.Draining, b.ID)
 	}
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -70,7 +70,7 @@
 		for due > 0 {
 			cost := math.Min(53_000, 500+f.rng.ExpFloat64()*4000)
 			due -= cost
-			f.admits(&f.workspace, cost, func(host string) {
+			f.submitFor(&f.workspace, cost, func(host string) {
 				f.step += cost
 				f.byHost[host] += cost
 			})
@@ -98,7 +98,7 @@
 // restart starts a host again, with the configuration that others have.
 func (f *hotWorkspace) restart(h *zoneHost, incarnation uint64) {
 	h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: incarnation, Seed: incarnation, Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
-	h.born = f.now
+	h.startedAt = f.now
 	cfg := *f.hosts[1].r.table.Config
 	f.post(h, Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &cfg}})
 }
@@ -165,7 +165,7 @@
 	f.ask(func(at time.Duration) {
 		switch at {
 		case hotAt + 2*time.Second:
-			f.lost = func(from, to string, _ *gossippb.Packet) bool { return cut[from] || cut[to] }
+			f.drops = func(from, to string, _ *gossippb.Packet) bool { return cut[from] || cut[to] }
 		case hotAt + 6*time.Second:
 			before = alone()
 		}
@@ -186,7 +186,7 @@
 	for _, h := range f.hosts {
 		zoneOf[h.ip] = h.zone
 	}
-	f.lost = func(from, to string, _ *gossippb.Packet) bool { return zoneOf[from] != zoneOf[to] }
+	f.drops = func(from, to string, _ *gossippb.Packet) bool { return zoneOf[from] != zoneOf[to] }
 	f.run(20*time.Second, 0)
 	f.ask(func(time.Duration) {})
 	require.Less(t, f.worst(), 1.0)
@@ -197,7 +197,7 @@
 func TestQuotaHoldsWhileHostsAreAloneForLong(t *testing.T) {
 	t.Parallel()
 	f := newHotWorkspace(t, 2)
-	f.lost = func(string, string, *gossippb.Packet) bool { return true }
+	f.drops = func(string, string, *gossippb.Packet) bool { return true }
 	f.run(20*time.Second, 0)
 	f.ask(func(time.Duration) {})
 	require.Less(t, f.worst(), 1.0)
@@ -225,7 +225,7 @@
 		}
 		f.run(quotaStep, 0)
 	}
-	require.Zero(t, f.unplaced)
+	require.Zero(t, f.unassigned)
 	require.LessOrEqual(t, asked-admitted, asked/100)
 }
 
@@ -282,7 +282,7 @@
 		b.evacuated = true
 	}
 	f.next++
-	f.runs[f.next] = &zoneRun{host: asker, came: f.now}
+	f.runs[f.next] = &zoneRun{host: asker, submittedAt: f.now}
 	f.post(asker, Submit{ID: f.next, Route: urgent, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
 	f.run(20*time.Millisecond, 0)
 	require.Equal(t, 1, f.refused)
--- a/internal/router/regions_test.go
+++ b/internal/router/regions_test.go
@@ -17,7 +17,7 @@
 	for i, id := range []string{"a", "b", "c"} {
 		ch := changeOf(id, uint64(60+i), false)
 		ch.Zone = []string{"z0", "z1", "z2"}[i]
-		registers(r, time.Second, ch)
+		register(r, time.Second, ch)
 	}
 	regions := func(names ...string) []string { return names }
 	id := uint64(0)
@@ -46,7 +46,7 @@
 	require.Equal(t, only("c"), goes(regions("north", "south"), regions("south")))
 	require.Equal(t, only("refused"), goes(regions("north"), regions("south")))
 	require.Equal(t, only("refused"), goes(regions("atlantis"), nil))
-	registers(r, 8*time.Second, changeOf("c", 90, true))
+	register(r, 8*time.Second, changeOf("c", 90, true))
 	r.Reduce(20*time.Second, Tick{})
 	require.Equal(t, only("refused"), goes(regions("south"), nil), "its backend servers are gone")
 }
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -17,12 +17,12 @@
 	return ch
 }
 
-func foreign(revision uint64) routing.BackendChange {
+func foreignWrite(revision uint64) routing.BackendChange {
 	return routing.BackendChange{Backend: routing.Backend{ID: "e0"}, Revision: rev(revision), Removed: true, Foreign: true}
 }
 
-// tell posts changes as a peer would tell them.
-func (b *bench) tell(changes ...routing.BackendChange) []Effect {
+// receive posts changes as a peer would receive them.
+func (b *bench) receive(changes ...routing.BackendChange) []Effect {
 	return b.post(Update{Changes: routing.Changes{Backends: changes}})
 }
 
@@ -41,7 +41,7 @@
 // gets work at once, and what waits for the earlier one ends as broken without harm to the new one.
 func TestNextStartOfAnEngineIsUnknown(t *testing.T) {
 	b := newBench(t, 0)
-	b.tell(startOf(1000, 60))
+	b.receive(startOf(1000, 60))
 	b.submit(hint, 2, 10)
 	first := b.next
 	old := b.r.backends["e0"]
@@ -51,7 +51,7 @@
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: old.hash, InFlight: counts{3}.pack()}}}})
 
-	require.Equal(t, []Abort{{ID: first, Attempt: 1}}, effectsOf[Abort](b.tell(startOf(2000, 70))))
+	require.Equal(t, []Abort{{ID: first, Attempt: 1}}, effectsOf[Abort](b.receive(startOf(2000, 70))))
 	next := b.r.backends["e0"]
 	require.Zero(t, next.inFlight())
 	require.Zero(t, next.interval)
@@ -71,25 +71,25 @@
 // cut off tells of it. It must not hide the new start, nor bring an engine back that has left.
 func TestEarlierStartNeverComesBack(t *testing.T) {
 	b := newBench(t, 0)
-	b.tell(startOf(2000, 60))
+	b.receive(startOf(2000, 60))
 	late := startOf(1000, 65)
 	late.Draining = true
-	b.tell(late)
+	b.receive(late)
 	require.EqualValues(t, 2000, b.r.backends["e0"].Start)
 	require.True(t, b.serves())
 
 	drains := startOf(2000, 70)
 	drains.Draining = true
-	b.tell(drains)
-	b.tell(startOf(1000, 75))
+	b.receive(drains)
+	b.receive(startOf(1000, 75))
 	require.False(t, b.serves(), "it drains")
 
 	gone := changeOf("e0", 80, true)
-	b.tell(gone)
-	b.tell(startOf(1000, 85))
-	b.tell(startOf(3000, 78))
+	b.receive(gone)
+	b.receive(startOf(1000, 85))
+	b.receive(startOf(3000, 78))
 	require.False(t, b.serves(), "it has left")
-	b.tell(startOf(3000, 90))
+	b.receive(startOf(3000, 90))
 	require.True(t, b.serves(), "a new start")
 }
 
@@ -98,15 +98,15 @@
 func TestForeignRegistrationNamesNoServer(t *testing.T) {
 	b := newBench(t, 1)
 	b.post(StoreStatus{OK: false}) // so that a lapse would be doubted
-	b.tell(foreign(60))
+	b.receive(foreignWrite(60))
 	require.False(t, b.serves())
-	b.tell(changeOf("e0", 61, false))
+	b.receive(changeOf("e0", 61, false))
 	require.True(t, b.serves())
 
-	b.tell(startOf(1000, 62))
-	b.tell(startOf(0, 63))
+	b.receive(startOf(1000, 62))
+	b.receive(startOf(0, 63))
 	require.False(t, b.serves(), "the engine told its start before")
-	b.tell(startOf(1000, 64))
+	b.receive(startOf(1000, 64))
 	require.True(t, b.serves())
 }
 
@@ -115,11 +115,11 @@
 	b := newBench(t, 0)
 	plain := changeOf("e0", 60, false)
 	plain.Model = false
-	b.tell(plain)
+	b.receive(plain)
 	_, refused := b.submit(urgent, 0, 10)
 	require.NotNil(t, refused)
 	require.Equal(t, NoBackend, refused.Cause)
-	b.tell(changeOf("e1", 61, false))
+	b.receive(changeOf("e1", 61, false))
 	engine, _ := b.submit(urgent, 0, 10)
 	require.Equal(t, "e1", engine)
 }
@@ -128,25 +128,25 @@
 // every order, each twice. All hosts end with the same belief, and digests that agree, or they would ask
 // each other for news for ever.
 func TestEveryOrderOfStarts(t *testing.T) {
-	plays := map[string]struct {
+	cases := map[string]struct {
 		changes []routing.BackendChange
 		serves  bool
 		start   uint64
 	}{
 		"restart and a late write":  {[]routing.BackendChange{startOf(1000, 60), startOf(2000, 61), startOf(1000, 62), startOf(2000, 64)}, true, 2000},
 		"left after a restart":      {[]routing.BackendChange{startOf(1000, 60), startOf(2000, 61), changeOf("e0", 63, true), startOf(1000, 62)}, false, 2000},
-		"overwritten":               {[]routing.BackendChange{startOf(1000, 60), foreign(61), startOf(1000, 59)}, false, 1000},
+		"overwritten":               {[]routing.BackendChange{startOf(1000, 60), foreignWrite(61), startOf(1000, 59)}, false, 1000},
 		"overwritten without start": {[]routing.BackendChange{startOf(1000, 60), startOf(0, 62), startOf(1000, 61)}, false, 1000},
-		"overwritten, then back":    {[]routing.BackendChange{startOf(1000, 60), foreign(61), startOf(1000, 63)}, true, 1000},
+		"overwritten, then back":    {[]routing.BackendChange{startOf(1000, 60), foreignWrite(61), startOf(1000, 63)}, true, 1000},
 		"overwritten, then restart": {[]routing.BackendChange{startOf(1000, 60), startOf(0, 61), startOf(2000, 63)}, true, 2000},
 	}
-	for name, play := range plays {
+	for name, play := range cases {
 		digests := map[uint64]bool{}
 		permute(len(play.changes), func(order []int) {
 			b := newBench(t, 0)
 			b.now += lapseWindow // so that nothing is taken for a lapse
 			for _, i := range append(append([]int(nil), order...), order...) {
-				b.tell(play.changes[i])
+				b.receive(play.changes[i])
 			}
 			require.Equal(t, play.serves, b.serves(), "%s: %v", name, order)
 			if play.serves {
--- a/internal/router/said_test.go
+++ b/internal/router/said_test.go
@@ -11,8 +11,8 @@
 	"fireflyshift/internal/routing"
 )
 
-// registers tells a host that a backend server registers, as the store's next change.
-func registers(r *Router, at time.Duration, ch routing.BackendChange) {
+// register tells a host that a backend server register, as the store's next change.
+func register(r *Router, at time.Duration, ch routing.BackendChange) {
 	r.Reduce(at, Update{FromStore: true, After: rev(ch.Revision.Number - 1), AsOf: ch.Revision, Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
 }
 
@@ -30,14 +30,14 @@
 		ch.Start = start
 		return ch
 	}
-	registers(r, time.Second, ready(60, 5))
+	register(r, time.Second, ready(60, 5))
 	r.Reduce(2*time.Second, BackendAnnouncement{ID: "a", Start: 5, Leaving: true})
 	for revision := uint64(61); revision < 64; revision++ {
-		registers(r, 3*time.Second, ready(revision, 5))
+		register(r, 3*time.Second, ready(revision, 5))
 		_, refused := has[Refuse](submitted(r, revision, 4*time.Second))
 		require.True(t, refused)
 	}
-	registers(r, 5*time.Second, ready(70, 6))
+	register(r, 5*time.Second, ready(70, 6))
 	dispatchOf(t, submitted(r, 70, 6*time.Second))
 	r.Reduce(7*time.Second, BackendAnnouncement{ID: "a", Start: 5, Leaving: true})
 	dispatchOf(t, submitted(r, 71, 8*time.Second))
@@ -50,7 +50,7 @@
 	r.Reduce(2*time.Second, BackendAnnouncement{ID: "a", Leaving: true})
 	r.Reduce(3*time.Second, StoreStatus{})
 	ch := changeOf("a", 60, true)
-	registers(r, 4*time.Second, ch)
+	register(r, 4*time.Second, ch)
 	_, refused := has[Refuse](submitted(r, 1, 4*time.Second))
 	require.True(t, refused)
 }
@@ -62,7 +62,7 @@
 	for _, c := range []struct{ zones, hosts int }{{3, 3}, {6, 20}} {
 		t.Run(fmt.Sprintf("%d zones of %d", c.zones, c.hosts), func(t *testing.T) {
 			z := newZones(t, c.zones, c.hosts, 4)
-			z.lost = func(_, _ string, _ *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
+			z.drops = func(_, _ string, _ *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
 			z.post(z.hosts[len(z.hosts)-1], BackendAnnouncement{ID: "e001", Leaving: true})
 			z.run(1500*time.Millisecond, 0)
 			for _, h := range z.hosts {
@@ -72,7 +72,7 @@
 				z.submit()
 				z.run(10*time.Millisecond, 0)
 			}
-			require.Zero(t, z.held["e001"])
+			require.Zero(t, z.streams["e001"])
 		})
 	}
 }
@@ -80,20 +80,20 @@
 // The owner of an engine offers a place there; the asker has just heard from the engine itself that it leaves, or wants nothing
 // for a time. The place goes back, and nothing is sent.
 func TestOfferOfALeavingEngineIsGivenBack(t *testing.T) {
-	for name, said := range map[string]BackendAnnouncement{"leaving": {Leaving: true}, "away": {HoldOff: time.Minute}} {
+	for name, announcement := range map[string]BackendAnnouncement{"leaving": {Leaving: true}, "away": {HoldOff: time.Minute}} {
 		t.Run(name, func(t *testing.T) {
 			z := newZone(t, 20, 23)
 			asker := z.hosts[0]
-			question, owner := z.question(asker)
+			question, owner := z.requestSlot(asker)
 			offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 			place := offers[0].Place
 			require.NotNil(t, place)
-			said.ID = asker.r.byHash[place.Backend].ID
-			asker.r.Reduce(z.now, said)
+			announcement.ID = asker.r.byHash[place.Backend].ID
+			asker.r.Reduce(z.now, announcement)
 			out := asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
-			require.True(t, givesBack(out, place.Backend))
+			require.True(t, releasesSlot(out, place.Backend))
 			if d, ok := has[Dispatch](out); ok {
-				require.NotEqual(t, said.ID, d.Backend.ID)
+				require.NotEqual(t, announcement.ID, d.Backend.ID)
 			}
 		})
 	}
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -55,8 +55,8 @@
 	require.Less(t, soon, 300/10, "hundreds of hosts must not all list the store before they hear each other")
 }
 
-// beatsTo collects the hosts that beats go to.
-func beatsTo(list []Effect) []string {
+// heartbeatTargetsOf collects the hosts that beats go to.
+func heartbeatTargetsOf(list []Effect) []string {
 	var out []string
 	for _, b := range effectsOf[SendHeartbeat](list) {
 		out = append(out, b.To...)
@@ -73,7 +73,7 @@
 	b.now += minChangeGap + time.Millisecond
 	b.post(Tick{})
 	b.now += minChangeGap
-	require.Contains(t, beatsTo(b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1}})), "10.0.0.3")
+	require.Contains(t, heartbeatTargetsOf(b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1}})), "10.0.0.3")
 }
 
 // The first of the starting hosts has read the configuration. The others, which wait for it, hear so at
@@ -84,7 +84,7 @@
 	r.Reduce(0, Tick{})
 	now := minChangeGap + 5*time.Millisecond
 	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}
-	require.Contains(t, beatsTo(r.Reduce(now, n)), "10.0.0.2")
+	require.Contains(t, heartbeatTargetsOf(r.Reduce(now, n)), "10.0.0.2")
 }
 
 // All hosts of a large fleet start together while a workspace asks for many times its quota. A host that
@@ -128,7 +128,7 @@
 // startingFleet is a fleet of some zones whose hosts all start together and read a store that answers a listing after a while.
 type startingFleet struct {
 	*zone
-	news     Update
+	update   Update
 	listTime time.Duration
 	// refuses are the hosts that the store refuses.
 	refuses map[string]bool
@@ -145,16 +145,16 @@
 }
 
 func startFleet(t testing.TB, zones, hosts int) *startingFleet {
-	f := &startingFleet{zone: &zone{t: t, rng: rand.New(rand.NewPCG(1, 2)), byIP: map[string]*zoneHost{}, held: map[string]int{}, runs: map[uint64]*zoneRun{}},
+	f := &startingFleet{zone: &zone{t: t, rng: rand.New(rand.NewPCG(1, 2)), byIP: map[string]*zoneHost{}, streams: map[string]int{}, runs: map[uint64]*zoneRun{}},
 		listTime: 300 * time.Millisecond, reading: map[string]bool{}, refuses: map[string]bool{},
-		news: Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}}
+		update: Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}}
 	for i := range zones * hosts {
-		h := &zoneHost{ip: fmt.Sprintf("10.0.%d.%d", i/hosts, i%hosts+1), zone: fmt.Sprintf("z%d", i/hosts), born: time.Duration(f.rng.Int64N(int64(300 * time.Millisecond)))}
+		h := &zoneHost{ip: fmt.Sprintf("10.0.%d.%d", i/hosts, i%hosts+1), zone: fmt.Sprintf("z%d", i/hosts), startedAt: time.Duration(f.rng.Int64N(int64(300 * time.Millisecond)))}
 		h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: uint64(i + 1), Seed: uint64(i), Seeds: []string{"10.0.0.1", "10.0.1.2"}})
 		f.hosts = append(f.hosts, h)
 		f.byIP[h.ip] = h
 	}
-	f.read = func(h *zoneHost, e ReadStore) {
+	f.onReadStore = func(h *zoneHost, e ReadStore) {
 		if e.On == f.reading[h.ip] {
 			return
 		}
@@ -163,7 +163,7 @@
 			f.list(h)
 		}
 	}
-	f.pulled = func(from string, p Pull) {
+	f.onPull = func(from string, p Pull) {
 		f.due = append(f.due, startingEvent{f.now + 50*time.Millisecond, f.byIP[from], func() Event {
 			n := f.byIP[p.Host].r.Snapshot(p.Since)
 			n.FromStore, n.Full, n.From = false, false, p.Host
@@ -179,12 +179,12 @@
 		if f.refuses[h.ip] {
 			return StoreStatus{}
 		}
-		return f.news
+		return f.update
 	}})
 }
 
-// pass lets time pass; those that the store serves hear from it each second, those that it refuses try again.
-func (f *startingFleet) pass(d time.Duration) {
+// advance lets time advance; those that the store serves hear from it each second, those that it refuses try again.
+func (f *startingFleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.run(zoneStep, 0)
 		later := f.due[:0:0]
@@ -225,13 +225,13 @@
 	const zones = 3
 	listings := func(hosts int) int {
 		f := startFleet(t, zones, hosts)
-		f.pass(6 * time.Second)
+		f.advance(6 * time.Second)
 		require.Equal(t, zones*hosts, f.configured())
 		for ip, on := range f.reading {
 			f.refuses[ip] = on
 		}
 		before := f.listings
-		f.pass(4 * time.Second)
+		f.advance(4 * time.Second)
 		for z := range zones {
 			served := 0
 			for _, h := range f.hosts[z*hosts : (z+1)*hosts] {
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -39,8 +39,8 @@
 	z := o.z
 	z.next++
 	id := z.next
-	z.runs[id] = &zoneRun{host: h, came: z.now}
-	sub := Submit{ID: id, Route: fragile, PromptTok: 259, OutputTok: 100, Deadline: z.now - h.born + 10*time.Second}
+	z.runs[id] = &zoneRun{host: h, submittedAt: z.now}
+	sub := Submit{ID: id, Route: fragile, PromptTok: 259, OutputTok: 100, Deadline: z.now - h.startedAt + 10*time.Second}
 	if h.r.HasSuspects() {
 		sub.Digest = deadly
 	}
@@ -87,7 +87,7 @@
 	for _, c := range []struct{ zones, hosts int }{{3, 3}, {6, 20}} {
 		t.Run(fmt.Sprintf("%d zones of %d", c.zones, c.hosts), func(t *testing.T) {
 			z := newZones(t, c.zones, c.hosts, 12)
-			z.lost = func(_, _ string, _ *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
+			z.drops = func(_, _ string, _ *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
 			o := newOutbreak(z)
 			for i := range 80 {
 				o.send(z.hosts[(i*7)%len(z.hosts)])
@@ -109,7 +109,7 @@
 	z := newZones(t, 3, 8, 8)
 	o := newOutbreak(z)
 	cut := true
-	z.lost = func(from, to string, _ *gossippb.Packet) bool {
+	z.drops = func(from, to string, _ *gossippb.Packet) bool {
 		return cut && (z.byIP[from].zone == "z0") != (z.byIP[to].zone == "z0")
 	}
 	z.run(2*time.Second, 0)
@@ -138,7 +138,7 @@
 		}
 		z.run(2*knownWithin, 0)
 		h := z.hosts[2]
-		h.born = z.now
+		h.startedAt = z.now
 		h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: 999, Seed: 9, Seeds: []string{"10.0.0.1"}, Bounds: Bounds{RetryRatio: 0.2, RetryWindow: time.Second}})
 		z.run(knownWithin, 0)
 		require.NotNil(t, h.r.suspects.ledger.Blamed(deadly), "%d hosts a zone", perZone)
@@ -151,7 +151,7 @@
 	z := newZones(t, 3, 8, 8)
 	for i, engine := range []string{"e001", "e009", "e017"} {
 		h := z.hosts[8*i]
-		h.r.recordEndWithRequest(h.r.backends[engine], brokenRequest{popular, "school", z.now - h.born})
+		h.r.recordEndWithRequest(h.r.backends[engine], brokenRequest{popular, "school", z.now - h.startedAt})
 	}
 	z.run(knownWithin, 0)
 	h := z.hosts[4]
@@ -251,8 +251,8 @@
 // nothing of its requests.
 func TestLapsedEngineThatIsBackHasNotEnded(t *testing.T) {
 	r := lone(t, "a")
-	registers(r, 12*time.Second, changeOf("a", 60, true))
-	registers(r, 13*time.Second, changeOf("a", 61, false))
+	register(r, 12*time.Second, changeOf("a", 60, true))
+	register(r, 13*time.Second, changeOf("a", 61, false))
 	breaks(t, r, 1, 14*time.Second, fragile)
 	require.False(t, r.HasSuspects())
 }
@@ -312,7 +312,7 @@
 	for round := range 2 {
 		for _, h := range z.hosts {
 			z.next++
-			z.runs[z.next] = &zoneRun{host: h, came: z.now}
+			z.runs[z.next] = &zoneRun{host: h, submittedAt: z.now}
 			z.post(h, Submit{ID: z.next, Route: fragile, Digest: deadly, Deadline: z.now + time.Minute})
 			if run := z.runs[z.next]; run != nil {
 				require.Zero(t, round, "one at a time")
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -22,11 +22,11 @@
 
 // world runs many hosts against a store, backend servers and each other, with faults as events.
 type world struct {
-	t      *rapid.T
-	now    time.Duration
-	nextID uint64
-	hosts  []*worldHost
-	mail   []letter
+	t        *rapid.T
+	now      time.Duration
+	nextID   uint64
+	hosts    []*worldHost
+	messages []message
 	// truth is what the store holds; log is its history.
 	config   *routing.Config
 	latest   uint64 // version of the configuration that was sent last
@@ -34,30 +34,30 @@
 	// evacuations are the latest words on zones, for good: what a listing shows are those that have not ended.
 	evacuations map[string]routing.Evacuation
 	revision    uint64
-	storeOff    bool
+	storeDown   bool
 	// era is how often the store has come back from copy; since is what was written after it was taken, and again what is
 	// still to be written anew.
-	era   uint64
-	copy  *storeCopy
-	since []func()
-	again []func()
+	era        uint64
+	copy       *storeCopy
+	sinceCopy  []func()
+	lostWrites []func()
 	// calls are all requests ever submitted.
 	calls map[uint64]*call
 }
 
 type worldHost struct {
-	r       *Router
-	ip      string
-	zone    string
-	frozen  time.Duration // until
-	cut     bool          // from other hosts
-	refused bool          // by the store
-	seen    uint64        // revision read from the store
-	listed  bool
-	reading bool
-	version uint64
-	inc     uint64
-	told    map[string]bool // servers that have told it in an answer that they leave
+	r                *Router
+	ip               string
+	zone             string
+	frozen           time.Duration // until
+	cut              bool          // from other hosts
+	refused          bool          // by the store
+	seen             uint64        // revision read from the store
+	listed           bool
+	reading          bool
+	version          uint64
+	inc              uint64
+	announcedLeaving map[string]bool // servers that have told it in an answer that they leave
 }
 
 // storeCopy is what the store held at a moment.
@@ -68,23 +68,23 @@
 	revision    uint64
 }
 
-// takeCopy takes a copy that the store may come back from.
-func (w *world) takeCopy() {
+// copyStore takes a copy that the store may come back from.
+func (w *world) copyStore() {
 	w.copy = &storeCopy{w.config, maps.Clone(w.backends), maps.Clone(w.evacuations), w.revision}
-	w.since = nil
+	w.sinceCopy = nil
 }
 
-// comeBack brings the store back from its copy. What was written since is written again, in order, a little later; so are
+// restoreStore brings the store back from its copy. What was written since is written again, in order, a little later; so are
 // those writes that still waited.
-func (w *world) comeBack() {
+func (w *world) restoreStore() {
 	if w.copy == nil {
 		return
 	}
 	w.era++
 	w.config, w.backends, w.revision = w.copy.config, maps.Clone(w.copy.backends), w.copy.revision
 	w.evacuations = maps.Clone(w.copy.evacuations)
-	w.again = append(slices.Clone(w.since), w.again...)
-	w.since = nil
+	w.lostWrites = append(slices.Clone(w.sinceCopy), w.lostWrites...)
+	w.sinceCopy = nil
 	for _, h := range w.hosts {
 		h.listed = false // its watch is told that the history is gone
 	}
@@ -92,21 +92,21 @@
 
 // write changes what the store holds; it comes again if the store loses it.
 func (w *world) write(f func()) {
-	if len(w.again) > 0 {
-		w.again = append(w.again, f) // the operator and the servers write in order
+	if len(w.lostWrites) > 0 {
+		w.lostWrites = append(w.lostWrites, f) // the operator and the servers write in order
 		return
 	}
 	f()
-	w.since = append(w.since, f)
+	w.sinceCopy = append(w.sinceCopy, f)
 }
 
-// writeAgain writes some of what the store had lost.
-func (w *world) writeAgain(most int) {
-	for ; most > 0 && len(w.again) > 0; most-- {
-		f := w.again[0]
-		w.again = w.again[1:]
+// repeatLostWrites writes some of what the store had lost.
+func (w *world) repeatLostWrites(most int) {
+	for ; most > 0 && len(w.lostWrites) > 0; most-- {
+		f := w.lostWrites[0]
+		w.lostWrites = w.lostWrites[1:]
 		f()
-		w.since = append(w.since, f)
+		w.sinceCopy = append(w.sinceCopy, f)
 	}
 }
 
@@ -123,12 +123,12 @@
 	finished bool
 }
 
-type letter struct {
+type message struct {
 	at     time.Duration
 	to     string
 	from   string
 	packet []byte
-	news   *Update
+	update *Update
 }
 
 func newWorld(t *rapid.T, zones, perZone int) *world {
@@ -155,7 +155,7 @@
 		Seeds:  []string{w.hosts[0].ip, w.hosts[len(w.hosts)-1].ip},
 		Bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 56, QuotaWindow: 8 * time.Second, QuotaOver: 0.25}})
 	h.seen, h.listed, h.reading, h.version, h.frozen = 0, false, false, 0, 0
-	h.told = map[string]bool{}
+	h.announcedLeaving = map[string]bool{}
 	for _, c := range w.calls {
 		if c.host == h {
 			c.finished = true // its caller sees a closed connection
@@ -217,13 +217,13 @@
 func (w *world) effect(h *worldHost, e Effect) {
 	switch e := e.(type) {
 	case SendHeartbeat:
-		w.mailTo(h, e.To, &gossippb.Packet{Beat: e.Heartbeat})
+		w.sendDatagrams(h, e.To, &gossippb.Packet{Beat: e.Heartbeat})
 	case Send:
-		w.mailTo(h, e.To, e.Packet)
+		w.sendDatagrams(h, e.To, e.Packet)
 	case Pull:
 		if from := w.host(e.Host); from != nil && !from.cut && !h.cut && w.now >= from.frozen {
 			n := from.r.Snapshot(e.Since)
-			w.mail = append(w.mail, letter{at: w.now + worldStep, to: h.ip, news: &n})
+			w.messages = append(w.messages, message{at: w.now + worldStep, to: h.ip, update: &n})
 		}
 	case ReadStore:
 		h.reading = e.On
@@ -242,21 +242,21 @@
 	}
 }
 
-// mailTo sends a datagram. Of twenty, one is lost, one comes twice and one late.
-func (w *world) mailTo(h *worldHost, hosts []string, p *gossippb.Packet) {
+// sendDatagrams sends a datagram. Of twenty, one is lost, one comes twice and one late.
+func (w *world) sendDatagrams(h *worldHost, hosts []string, p *gossippb.Packet) {
 	data, err := proto.Marshal(p)
 	require.NoError(w.t, err)
 	for _, to := range hosts {
-		l := letter{at: w.now + worldStep, to: to, from: h.ip, packet: data}
+		l := message{at: w.now + worldStep, to: to, from: h.ip, packet: data}
 		switch rapid.IntRange(0, 19).Draw(w.t, "fate of a datagram") {
 		case 0:
 			continue
 		case 1:
-			w.mail = append(w.mail, l)
+			w.messages = append(w.messages, l)
 		case 2:
 			l.at += 3 * worldStep
 		}
-		w.mail = append(w.mail, l)
+		w.messages = append(w.messages, l)
 	}
 }
 
@@ -289,7 +289,7 @@
 	b := h.r.backends[e.Backend.ID]
 	require.False(w.t, b.Draining, "sent to a server that is known to drain")
 	require.False(w.t, h.r.evacuated(b.Zone), "sent to a zone that is known to be evacuated")
-	require.False(w.t, h.told[b.ID], "sent to a server that has told this host that it leaves")
+	require.False(w.t, h.announcedLeaving[b.ID], "sent to a server that has told this host that it leaves")
 	if b.removed {
 		require.Less(w.t, w.now-b.removedAt, lapsedGracePeriod+worldStep, "sent to a server that is long gone")
 	}
@@ -346,7 +346,7 @@
 		w.post(c.host, Stalled{ID: c.id})
 	}
 	if rapid.IntRange(0, 29).Draw(w.t, "says that it leaves") == 0 {
-		c.host.told[c.current] = true
+		c.host.announcedLeaving[c.current] = true
 		w.post(c.host, BackendAnnouncement{ID: c.current, Leaving: true})
 	}
 	o := rapid.SampledFrom([]Outcome{Answered, Answered, Answered, Failed, NotSent, Rejected, WrongInstance, Broken, TimedOut, Canceled}).Draw(w.t, "outcome")
@@ -363,23 +363,23 @@
 // step lets a little time pass: mail arrives, the store is read, hosts tick.
 func (w *world) step() {
 	w.now += worldStep
-	rest := w.mail[:0]
-	var due []letter
-	for _, l := range w.mail {
+	rest := w.messages[:0]
+	var due []message
+	for _, l := range w.messages {
 		if l.at <= w.now {
 			due = append(due, l)
 		} else {
 			rest = append(rest, l)
 		}
 	}
-	w.mail = rest
+	w.messages = rest
 	for _, l := range due {
 		h := w.host(l.to)
 		if h == nil || h.cut {
 			continue
 		}
-		if l.news != nil {
-			w.post(h, *l.news)
+		if l.update != nil {
+			w.post(h, *l.update)
 			continue
 		}
 		p := &gossippb.Packet{}
@@ -388,8 +388,8 @@
 			w.post(h, eventOf(l.from, p))
 		}
 	}
-	if !w.storeOff && rapid.IntRange(0, 4).Draw(w.t, "writes again") == 0 {
-		w.writeAgain(1)
+	if !w.storeDown && rapid.IntRange(0, 4).Draw(w.t, "writes again") == 0 {
+		w.repeatLostWrites(1)
 	}
 	for _, h := range w.hosts {
 		w.readStore(h)
@@ -401,7 +401,7 @@
 	if !h.reading || w.now < h.frozen {
 		return
 	}
-	if w.storeOff || h.refused {
+	if w.storeDown || h.refused {
 		h.listed = false
 		w.post(h, StoreStatus{})
 		return
@@ -454,9 +454,9 @@
 	case 13:
 		w.evacuate(rapid.SampledFrom([]string{"z0", "z1"}).Draw(w.t, "zone"), true)
 	case 10:
-		w.takeCopy()
+		w.copyStore()
 	case 11:
-		w.comeBack()
+		w.restoreStore()
 	case 0:
 		w.publish()
 	case 1:
@@ -467,7 +467,7 @@
 	case 3:
 		w.register(fmt.Sprintf("b%d", rapid.IntRange(0, 9).Draw(w.t, "new backend")), false)
 	case 4:
-		w.storeOff = !w.storeOff
+		w.storeDown = !w.storeDown
 	case 5:
 		h := w.anyHost()
 		h.refused = !h.refused
@@ -486,8 +486,8 @@
 
 // heal ends all faults; after a while every host must hold what the store holds.
 func (w *world) heal() {
-	w.storeOff = false
-	w.writeAgain(len(w.again))
+	w.storeDown = false
+	w.repeatLostWrites(len(w.lostWrites))
 	for _, h := range w.hosts {
 		h.refused, h.cut, h.frozen = false, false, 0
 	}
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -22,49 +22,49 @@
 // zone runs the hosts of one availability zone of a large fleet in steps of a millisecond, which is also
 // what a datagram takes. Engines are simulated by how long a stream stays there.
 type zone struct {
-	t     testing.TB
-	now   time.Duration
-	steps int
-	rng   *rand.Rand
-	hosts []*zoneHost
-	byIP  map[string]*zoneHost
-	mail  []zoneMail
-	held  map[string]int // streams at each engine, in truth
-	runs  map[uint64]*zoneRun
-	next  uint64
+	t         testing.TB
+	now       time.Duration
+	steps     int
+	rng       *rand.Rand
+	hosts     []*zoneHost
+	byIP      map[string]*zoneHost
+	inTransit []zoneDatagram
+	streams   map[string]int // streams at each engine, in truth
+	runs      map[uint64]*zoneRun
+	next      uint64
 	// sent are what all hosts sent by kind, in datagrams and bytes.
 	datagrams, bytes int
-	// from is the zone that all requests come to; empty for any.
-	from string
-	// pulled hears of questions for news, if set.
-	pulled func(from string, p Pull)
-	// read hears of hosts that begin or cease to read the store, if set.
-	read func(h *zoneHost, e ReadStore)
+	// originZone is the zone that all requests come to; empty for any.
+	originZone string
+	// onPull hears of questions for news, if set.
+	onPull func(from string, p Pull)
+	// onReadStore hears of hosts that begin or cease to onReadStore the store, if set.
+	onReadStore func(h *zoneHost, e ReadStore)
 	// sends are the moments at which each engine was sent a request, where they are kept.
 	sends map[string][]time.Duration
 	// breaks is the share of requests that an engine breaks off as they begin, and broken counts those.
 	breaks map[string]float64
 	broken map[string]int
 	ended  []zoneEnd
-	// unplaced are requests that end at once and for which there was no place, though their quota had room.
-	unplaced int
-	// lost drops a datagram.
-	lost func(from, to string, p *gossippb.Packet) bool
+	// unassigned are requests that end at once and for which there was no place, though their quota had room.
+	unassigned int
+	// drops drops a datagram.
+	drops func(from, to string, p *gossippb.Packet) bool
 
-	// waited is the longest time from a request to its decision.
-	waited                      time.Duration
-	dispatched, refused, crowds int
+	// longestWait is the longest time from a request to its decision.
+	longestWait                    time.Duration
+	dispatched, refused, overloads int
 }
 
 type zoneHost struct {
-	ip   string
-	zone string
-	born time.Duration // the start of its clock
-	r    *Router
-	dead bool
+	ip        string
+	zone      string
+	startedAt time.Duration // the start of its clock
+	r         *Router
+	dead      bool
 }
 
-type zoneMail struct {
+type zoneDatagram struct {
 	at       time.Duration
 	from, to string
 	p        *gossippb.Packet
@@ -78,12 +78,12 @@
 
 type zoneRun struct {
 	// admitted is told that the request is sent, and ends it; nil where it stays at its engine for a while.
-	admitted func(host string)
-	host     *zoneHost
-	came     time.Duration
-	ends     time.Duration
-	engine   string
-	breaks   bool
+	admitted    func(host string)
+	host        *zoneHost
+	submittedAt time.Duration
+	ends        time.Duration
+	engine      string
+	breaks      bool
 }
 
 // newZone starts the hosts of a zone before engines of 4 slots, a third of which are four times slower, and
@@ -92,7 +92,7 @@
 
 // newZones starts several zones; the seeds are in the first.
 func newZones(t testing.TB, zones, hosts, engines int) *zone {
-	z := &zone{t: t, rng: rand.New(rand.NewPCG(1, 2)), byIP: map[string]*zoneHost{}, held: map[string]int{}, runs: map[uint64]*zoneRun{}}
+	z := &zone{t: t, rng: rand.New(rand.NewPCG(1, 2)), byIP: map[string]*zoneHost{}, streams: map[string]int{}, runs: map[uint64]*zoneRun{}}
 	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
 		Services: []routing.Service{{Name: "m", Model: true, TokensPerEvent: 8}}}}}
 	for i := range zones * engines {
@@ -116,24 +116,24 @@
 }
 
 func (z *zone) post(h *zoneHost, ev Event) {
-	if h.dead || z.now < h.born {
+	if h.dead || z.now < h.startedAt {
 		return
 	}
-	for _, e := range h.r.Reduce(z.now-h.born, ev) {
+	for _, e := range h.r.Reduce(z.now-h.startedAt, ev) {
 		z.effect(h, e)
 	}
 	require.Empty(z.t, h.r.Violations())
 }
 
-// admits submits a request of a workspace to any host, and tells once it is sent to an engine, where it ends at once.
-func (z *zone) admits(w *routing.Workspace, cost float64, admitted func(host string)) {
+// submitFor submits a request of a workspace to any host, and tells once it is sent to an engine, where it ends at once.
+func (z *zone) submitFor(w *routing.Workspace, cost float64, admitted func(host string)) {
 	z.submitAt(z.hosts[z.rng.IntN(len(z.hosts))], w, cost, admitted)
 }
 
 func (z *zone) submitAt(h *zoneHost, w *routing.Workspace, cost float64, admitted func(host string)) {
 	z.next++
-	z.runs[z.next] = &zoneRun{host: h, came: z.now, admitted: admitted}
-	z.post(h, Submit{ID: z.next, Route: urgent, Workspace: w, Cost: cost, Deadline: z.now - h.born + time.Second})
+	z.runs[z.next] = &zoneRun{host: h, submittedAt: z.now, admitted: admitted}
+	z.post(h, Submit{ID: z.next, Route: urgent, Workspace: w, Cost: cost, Deadline: z.now - h.startedAt + time.Second})
 }
 
 func (z *zone) effect(h *zoneHost, e Effect) {
@@ -143,12 +143,12 @@
 	case Send:
 		z.send(h, e.To, e.Packet)
 	case ReadStore:
-		if z.read != nil {
-			z.read(h, e)
+		if z.onReadStore != nil {
+			z.onReadStore(h, e)
 		}
 	case Pull:
-		if z.pulled != nil {
-			z.pulled(h.ip, e)
+		if z.onPull != nil {
+			z.onPull(h.ip, e)
 		}
 	case Dispatch:
 		run := z.runs[e.ID]
@@ -164,22 +164,22 @@
 		if run.breaks = z.breaks != nil && z.rng.Float64() < z.breaks[run.engine]; run.breaks {
 			run.ends = z.now + 3*zoneStep
 		}
-		z.held[run.engine]++
+		z.streams[run.engine]++
 		if z.sends != nil {
 			z.sends[run.engine] = append(z.sends[run.engine], z.now)
 		}
 		z.dispatched++
-		z.waited = max(z.waited, z.now-run.came)
-		if z.held[run.engine] > e.Backend.Slots+headroom {
-			z.crowds++
+		z.longestWait = max(z.longestWait, z.now-run.submittedAt)
+		if z.streams[run.engine] > e.Backend.Slots+headroom {
+			z.overloads++
 		}
 	case GiveUp:
 		delete(z.runs, e.ID)
 	case Refuse:
 		if z.runs[e.ID].admitted != nil && e.Cause != OverQuota {
-			z.unplaced++
+			z.unassigned++
 		}
-		z.waited = max(z.waited, z.now-z.runs[e.ID].came)
+		z.longestWait = max(z.longestWait, z.now-z.runs[e.ID].submittedAt)
 		delete(z.runs, e.ID)
 		z.refused++
 	}
@@ -200,10 +200,10 @@
 	z.datagrams += len(to)
 	z.bytes += len(to) * proto.Size(p)
 	for _, ip := range to {
-		if z.lost != nil && z.lost(h.ip, ip, p) {
+		if z.drops != nil && z.drops(h.ip, ip, p) {
 			continue
 		}
-		z.mail = append(z.mail, zoneMail{z.now + zoneStep, h.ip, ip, p})
+		z.inTransit = append(z.inTransit, zoneDatagram{z.now + zoneStep, h.ip, ip, p})
 	}
 }
 
@@ -233,11 +233,11 @@
 
 func (z *zone) deliver() {
 	due := 0
-	for due < len(z.mail) && z.mail[due].at <= z.now {
+	for due < len(z.inTransit) && z.inTransit[due].at <= z.now {
 		due++
 	}
-	list := z.mail[:due]
-	z.mail = append([]zoneMail(nil), z.mail[due:]...)
+	list := z.inTransit[:due]
+	z.inTransit = append([]zoneDatagram(nil), z.inTransit[due:]...)
 	for _, m := range list {
 		if h := z.byIP[m.to]; h != nil {
 			z.post(h, eventOf(m.from, m.p))
@@ -255,7 +255,7 @@
 	slices.Sort(ended)
 	for _, id := range ended {
 		run := z.runs[id]
-		z.held[run.engine]--
+		z.streams[run.engine]--
 		if run.breaks {
 			z.broken[run.engine]++
 			run.engine = ""
@@ -275,11 +275,11 @@
 // submit sends one request to a host that lives.
 func (z *zone) submit() {
 	h := z.hosts[z.rng.IntN(len(z.hosts))]
-	for h.dead || (z.from != "" && h.zone != z.from) {
+	for h.dead || (z.originZone != "" && h.zone != z.originZone) {
 		h = z.hosts[z.rng.IntN(len(z.hosts))]
 	}
 	z.next++
-	z.runs[z.next] = &zoneRun{host: h, came: z.now}
+	z.runs[z.next] = &zoneRun{host: h, submittedAt: z.now}
 	z.post(h, Submit{ID: z.next, Route: urgent, Rank: 0, PromptTok: 1000, OutputTok: 160, Deadline: z.now + 10*time.Second})
 }
 
@@ -293,17 +293,17 @@
 func TestOwnersPlaceByExactCounts(t *testing.T) {
 	z := newZone(t, 50, 53)
 	z.run(3*time.Second, 250)
-	z.datagrams, z.bytes, z.crowds, z.dispatched, z.refused = 0, 0, 0, 0, 0
+	z.datagrams, z.bytes, z.overloads, z.dispatched, z.refused = 0, 0, 0, 0, 0
 	z.run(5*time.Second, 250)
 	perHost := func(n int) float64 { return float64(n) / 5 / 50 }
 	t.Logf("%d sent, %d refused, %d beyond the bound; %.0f datagrams and %.1f KB a second and host",
-		z.dispatched, z.refused, z.crowds, perHost(z.datagrams), perHost(z.bytes)/1000)
+		z.dispatched, z.refused, z.overloads, perHost(z.datagrams), perHost(z.bytes)/1000)
 	require.Positive(t, z.dispatched)
-	require.Zero(t, z.crowds)
+	require.Zero(t, z.overloads)
 	require.Less(t, z.refused, z.dispatched/100)
 	require.Less(t, perHost(z.datagrams), 150.0)
 	require.Less(t, perHost(z.bytes), 18_000.0)
-	require.LessOrEqual(t, z.waited, 8*zoneStep, "an answer of an owner or two")
+	require.LessOrEqual(t, z.longestWait, 8*zoneStep, "an answer of an owner or two")
 }
 
 // A fleet of six zones starts, and its seeds are in one of them. The hosts of the others must soon know all
@@ -322,16 +322,16 @@
 // comes from anywhere: no engine gets more than it may hold, and nobody is refused.
 func TestBusyZoneOverflowsToOthers(t *testing.T) {
 	z := newZones(t, 3, 10, 10)
-	z.from = "z1"
+	z.originZone = "z1"
 	z.run(6*time.Second, 90) // twice what the zone's engines serve
-	far := 0
+	crossZone := 0
 	for _, run := range z.runs {
 		if run.engine != "" && z.hosts[0].r.backends[run.engine].Zone != "z1" {
-			far++
+			crossZone++
 		}
 	}
-	require.Positive(t, far)
-	require.Zero(t, z.crowds)
+	require.Positive(t, crossZone)
+	require.Zero(t, z.overloads)
 	require.Less(t, z.refused, z.dispatched/50)
 }
 
@@ -343,7 +343,7 @@
 	require.NotEqual(t, z.hosts[0], owner, "choose another seed")
 	owner.dead = true
 	asks := 0
-	z.lost = func(_, to string, p *gossippb.Packet) bool {
+	z.drops = func(_, to string, p *gossippb.Packet) bool {
 		if to == owner.ip && p.Ask != nil {
 			asks++
 		}
@@ -351,7 +351,7 @@
 	}
 	z.run(time.Second, 400)
 	z.run(3*time.Second, 100)
-	require.LessOrEqual(t, z.waited, maxSlotRequests*(ownerCallTimeout+zoneTick*zoneStep))
+	require.LessOrEqual(t, z.longestWait, maxSlotRequests*(ownerCallTimeout+zoneTick*zoneStep))
 	require.Positive(t, z.dispatched)
 	for id, run := range z.runs {
 		require.NotEmpty(t, run.engine, "request %d waits", id)
@@ -365,13 +365,13 @@
 func TestLateOfferIsGivenBack(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
-	question, owner := z.question(asker)
+	question, owner := z.requestSlot(asker)
 	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 	require.NotNil(t, offers[0].Place)
 	asker.r.Reduce(z.now+ownerCallTimeout, Tick{})
 	require.Positive(t, asker.r.Requests(), "placed by the asker itself")
 	out := asker.r.Reduce(z.now+2*ownerCallTimeout, SlotOfferReceived{owner, offers[0]})
-	require.True(t, givesBack(out, offers[0].Place.Backend))
+	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
 
 // Owners' words are a quarter of a second old, and say that all engines are full; several requests have ended
@@ -382,7 +382,7 @@
 	for _, b := range asker.r.allBackends() {
 		asker.r.applyOwnerLoad(b, load{counts: counts{b.Slots + headroom}})
 	}
-	z.question(asker)
+	z.requestSlot(asker)
 }
 
 // A host of a zone restarts. It has not heard what its zone mates carry; as an owner it would take busy engines
@@ -408,8 +408,8 @@
 	}
 }
 
-// question submits a request to a host and returns what it asks of whom.
-func (z *zone) question(h *zoneHost) (*gossippb.Ask, string) {
+// requestSlot submits a request to a host and returns what it asks of whom.
+func (z *zone) requestSlot(h *zoneHost) (*gossippb.Ask, string) {
 	for range 20 {
 		z.next++
 		for _, s := range effectsOf[Send](h.r.Reduce(z.now, Submit{ID: z.next, Route: urgent, PromptTok: 1000, Deadline: z.now + 10*time.Second})) {
@@ -422,8 +422,8 @@
 	return nil, ""
 }
 
-// givesBack tells whether a place at a backend server is returned.
-func givesBack(list []Effect, backend uint32) bool {
+// releasesSlot tells whether a place at a backend server is returned.
+func releasesSlot(list []Effect, backend uint32) bool {
 	for _, rep := range reportsOf(list) {
 		if rep.Backend == backend && rep.Requests == -1 && rep.Unread == -1000 {
 			return true
@@ -437,7 +437,7 @@
 // given back at once, lost ones with the asker's next beat.
 func TestPlacesThatAreNotUsedAreGivenBack(t *testing.T) {
 	z := newZone(t, 20, 23)
-	z.lost = func(_, _ string, p *gossippb.Packet) bool { return p.Beat == nil && z.rng.IntN(4) == 0 }
+	z.drops = func(_, _ string, p *gossippb.Packet) bool { return p.Beat == nil && z.rng.IntN(4) == 0 }
 	z.run(5*time.Second, 120)
 	z.run(30*time.Second, 0) // all streams end
 	require.Empty(t, z.runs)
@@ -456,7 +456,7 @@
 func TestOwnerHearsOfEachEnd(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
-	question, owner := z.question(asker)
+	question, owner := z.requestSlot(asker)
 	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 	asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 	b := z.byIP[owner].r.byHash[offers[0].Place.Backend]
@@ -510,10 +510,10 @@
 	}
 	first := ask("10.0.0.3")
 	broken := owner.r.backends[first]
-	word := &gossippb.Report{Backend: broken.hash, Requests: -1, Unread: -100, Outcome: gossippb.Outcome_OUTCOME_UNREACHABLE}
-	owner.r.Reduce(z.now, ReportReceived{"10.0.0.3", word})
+	report := &gossippb.Report{Backend: broken.hash, Requests: -1, Unread: -100, Outcome: gossippb.Outcome_OUTCOME_UNREACHABLE}
+	owner.r.Reduce(z.now, ReportReceived{"10.0.0.3", report})
 	require.False(t, broken.isUnreachable(z.now))
-	owner.r.Reduce(z.now, ReportReceived{"10.0.0.4", word})
+	owner.r.Reduce(z.now, ReportReceived{"10.0.0.4", report})
 	require.True(t, broken.isUnreachable(z.now))
 	for range 30 {
 		require.NotEqual(t, first, ask("10.0.0.5"))
@@ -525,7 +525,7 @@
 func TestOfferOfADrainingEngineIsNotTaken(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
-	question, owner := z.question(asker)
+	question, owner := z.requestSlot(asker)
 	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
 	offered := asker.r.byHash[offers[0].Place.Backend]
 	ch := changeOf(offered.ID, 60, false)
@@ -535,7 +535,7 @@
 	for _, d := range effectsOf[Dispatch](out) {
 		require.NotEqual(t, offered.ID, d.Backend.ID)
 	}
-	require.True(t, givesBack(out, offered.hash))
+	require.True(t, releasesSlot(out, offered.hash))
 }
 
 // BenchmarkZone is what a host of a zone of 50 hosts and 53 engines spends on each kind of event.
@@ -543,16 +543,16 @@
 	z := newZone(b, 50, 53)
 	z.run(2*time.Second, 250)
 	owner := z.byIP[z.owners()[0]]
-	var mate *zoneHost
+	var peer *zoneHost
 	for _, h := range z.hosts {
 		if h.ip != owner.ip {
-			mate = h
+			peer = h
 			break
 		}
 	}
-	var beat *gossippb.Beat
-	for _, s := range effectsOf[SendHeartbeat](mate.r.Reduce(z.now+maxOwnersInterval, Tick{})) {
-		beat = s.Heartbeat
+	var heartbeat *gossippb.Beat
+	for _, s := range effectsOf[SendHeartbeat](peer.r.Reduce(z.now+maxOwnersInterval, Tick{})) {
+		heartbeat = s.Heartbeat
 	}
 	run := func(name string, f func(i int)) {
 		b.Run(name, func(b *testing.B) {
@@ -562,12 +562,12 @@
 			}
 		})
 	}
-	run("beat heard", func(int) { beat.Seq++; owner.r.Reduce(z.now, HeartbeatReceived{beat}) })
+	run("beat heard", func(int) { heartbeat.Seq++; owner.r.Reduce(z.now, HeartbeatReceived{heartbeat}) })
 	ask := &gossippb.Ask{Number: 1, Service: "m", Streaming: true, Prompt: 100, LeftMs: 9000, TargetMs: 800, WorstClass: uint32(classHealthy)}
 	run("ask and report", func(int) {
-		offers := offersOf(owner.r.Reduce(z.now, SlotRequestReceived{mate.ip, ask}))
+		offers := offersOf(owner.r.Reduce(z.now, SlotRequestReceived{peer.ip, ask}))
 		if p := offers[0].Place; p != nil {
-			owner.r.Reduce(z.now, ReportReceived{mate.ip, &gossippb.Report{Backend: p.Backend, Requests: -1, Unread: -100}})
+			owner.r.Reduce(z.now, ReportReceived{peer.ip, &gossippb.Report{Backend: p.Backend, Requests: -1, Unread: -100}})
 		}
 	})
 	now := z.now
