--- a/internal/gateway/codec.go
+++ b/internal/gateway/codec.go
@@ -27,7 +27,7 @@
 type DispatchInfo struct {
 	Backend   string // ID of the only backend server that may run the request
 	Workspace string
-	Left      time.Duration
+	TimeLeft  time.Duration
 	LastEvent string // of a stream that is resumed; empty otherwise
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,9 +49,9 @@
 	// Configured is closed once there is a configuration.
 	Configured() <-chan struct{}
 	Draining() bool
-	// Suspects reports whether the reducer needs request digests, because requests are suspected of crashing backend
-	// servers.
-	Suspects() bool
+	// NeedsDigests reports whether the reducer needs request digests, because requests are suspected of crashing
+	// backend servers.
+	NeedsDigests() bool
 }
 
 // Gateway is the HTTP handler for callers.
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -209,7 +209,7 @@
 	case router.Broken, router.TimedOut, router.Canceled:
 		return a.digest()
 	case router.Answered:
-		if a.g.control.Suspects() {
+		if a.g.control.NeedsDigests() {
 			return a.digest()
 		}
 	}
@@ -221,7 +221,7 @@
 		ID: a.id, Route: a.route, Workspace: a.workspace, Rank: a.rank,
 		PromptTok: a.call.PromptTokens, OutputTok: a.call.OutputTokens, Deadline: a.startedOnControl + a.allowed,
 	}
-	if a.g.control.Suspects() {
+	if a.g.control.NeedsDigests() {
 		s.Digest = a.digest()
 	}
 	if a.call.LengthHint > 0 {
@@ -319,7 +319,7 @@
 func (a *activeRequest) request(d router.Dispatch) *upstream.Request {
 	h := a.r.Header.Clone()
 	dropHop(h)
-	s := DispatchInfo{Backend: d.Backend.ID, Left: time.Until(a.deadline)}
+	s := DispatchInfo{Backend: d.Backend.ID, TimeLeft: time.Until(a.deadline)}
 	if a.workspace != nil {
 		s.Workspace = a.workspace.Name
 	}
--- a/internal/gateway/start_test.go
+++ b/internal/gateway/start_test.go
@@ -24,7 +24,7 @@
 func (s *unconfiguredControl) Post(router.Event)            {}
 func (s *unconfiguredControl) Now() time.Duration           { return 0 }
 func (s *unconfiguredControl) Draining() bool               { return false }
-func (s *unconfiguredControl) Suspects() bool               { return false }
+func (s *unconfiguredControl) NeedsDigests() bool           { return false }
 func (s *unconfiguredControl) Configured() <-chan struct{}  { return s.configured }
 func (s *unconfiguredControl) Table() *routing.Table {
 	select {
--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -137,7 +137,7 @@
 
 type gatedListener struct {
 	net.Listener
-	held func() <-chan struct{}
+	gate func() <-chan struct{}
 }
 
 // Accept implements net.Listener.
@@ -146,7 +146,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return gatedConn{conn.(*net.TCPConn), l.held}, nil
+	return gatedConn{conn.(*net.TCPConn), l.gate}, nil
 }
 
 // testHost is an http.Server whose reads can be blocked.
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -220,7 +220,7 @@
 	require.True(t, ok)
 	q.Refund(90)
 	require.Zero(t, q.Spent())
-	q.Set(10, 10)
+	q.SetRate(10, 10)
 	ok, _ = q.Admit(0, 10, oneHost(1, 1))
 	require.True(t, ok)
 	ok, _ = q.Admit(0, 10, oneHost(1, 1))
--- a/internal/limit/quota.go
+++ b/internal/limit/quota.go
@@ -94,7 +94,7 @@
 // NewQuota returns a bucket that is filled to initialLevel, with the host's own bucket full.
 func NewQuota(now time.Duration, rate, burst float64, a Allowance) *Quota {
 	q := &Quota{allowance: a, refilledAt: now, peerTotals: map[string]float64{}}
-	q.Set(rate, burst)
+	q.SetRate(rate, burst)
 	q.level = initialLevel * q.burst
 	q.ownLevel, q.ownRefilledAt = q.burst, now
 	return q
@@ -130,8 +130,8 @@
 // aboveThreshold reports whether the bucket is full enough for this host's next request.
 func (q *Quota) aboveThreshold() bool { return !q.coarse || q.level > q.admitThreshold*q.burst }
 
-// Set changes rate and burst. A level above the new burst is lowered to it at once.
-func (q *Quota) Set(rate, burst float64) {
+// SetRate changes rate and burst. A level above the new burst is lowered to it at once.
+func (q *Quota) SetRate(rate, burst float64) {
 	q.rate, q.burst = rate, burst
 	q.level = min(q.level, q.burst)
 }
@@ -321,5 +321,5 @@
 	return -(q.burst + q.refillRate()*max(1, q.allowance.Window.Seconds()))
 }
 
-// Forget drops the last total of a host incarnation that is gone.
-func (q *Quota) Forget(host string) { delete(q.peerTotals, host) }
+// ForgetPeer drops the last total of a host incarnation that is gone.
+func (q *Quota) ForgetPeer(peer string) { delete(q.peerTotals, peer) }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -184,8 +184,8 @@
 // Draining implements gateway.Control.
 func (c *control) Draining() bool { return c.draining.Load() }
 
-// Suspects implements gateway.Control.
-func (c *control) Suspects() bool { return c.suspects.Load() }
+// NeedsDigests implements gateway.Control.
+func (c *control) NeedsDigests() bool { return c.suspects.Load() }
 
 // query runs f on the control thread and reports whether it ran within queryTimeout.
 func (c *control) query(f func(*router.Router)) bool {
--- a/internal/quarantine/judge_test.go
+++ b/internal/quarantine/blame_test.go
@@ -15,7 +15,7 @@
 	blamed, explained := map[Digest]bool{}, map[uint32]bool{}
 	for {
 		var worst *Case
-		most := minEndsToBlame - 1
+		highest := minEndsToBlame - 1
 		for _, c := range l.cases {
 			n := 0
 			for _, e := range c.Ends {
@@ -23,8 +23,8 @@
 					n++
 				}
 			}
-			if !blamed[c.Digest] && (n > most || (n == most && worst != nil && byDigest(c, worst) < 0)) {
-				worst, most = c, n
+			if !blamed[c.Digest] && (n > highest || (n == highest && worst != nil && byDigest(c, worst) < 0)) {
+				worst, highest = c, n
 			}
 		}
 		if worst == nil {
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -322,7 +322,7 @@
 	r.applyDead(m, nil)
 	r.applyFailing(m, nil)
 	for _, q := range r.quotas {
-		q.Forget(m.quotaKey)
+		q.ForgetPeer(m.quotaKey)
 	}
 	delete(r.members.byHost, m.host)
 	r.members.order = slices.DeleteFunc(r.members.order, func(h string) bool { return h == m.host })
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -232,7 +232,7 @@
 		return
 	}
 	if ok {
-		q.Set(w.Rate, w.Burst)
+		q.SetRate(w.Rate, w.Burst)
 		return
 	}
 	q = limit.NewQuota(r.now, w.Rate, w.Burst, r.allowance())
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -265,7 +265,7 @@
 	{"quota-zone-part", "limits", "internal/limit/quota.go", "	case s.Members > 1:\n", "	case false:\n", limitTests},
 	{"quota-not-saved-up", "limits", "internal/limit/quota.go", "	q.ownLevel = min(q.ownLevel, -q.admitThreshold*q.usualCost)\n", "", limitTests},
 	{"quarantine-good-run", "ends", "internal/quarantine/ledger.go", "return e.At <= at", "return false", quarantineTests},
-	{"quarantine-cover", "ends", "internal/quarantine/judge.go", "unexplained[worst] < minEndsToBlame", "unexplained[worst] < 1", quarantineTests},
+	{"quarantine-cover", "ends", "internal/quarantine/blame.go", "unexplained[worst] < minEndsToBlame", "unexplained[worst] < 1", quarantineTests},
 	{"quarantine-one-end", "ends", "internal/quarantine/ledger.go", "	case l.contains(c.Ends, e):\n", "	case false:\n", quarantineTests},
 	{"quarantine-share", "ends", "internal/quarantine/ledger.go", "l.evict(own >= maxCasesPerWorkspace, workspace)", "l.evict(false, workspace)", quarantineTests},
 	{"suspects-proof", "ends", "internal/router/suspects.go", "if !e.Refused {", "if false {", suspectTests},
