--- a/internal/bound/model.go
+++ b/internal/bound/model.go
@@ -6,62 +6,66 @@
 	"time"
 )
 
-// Model is what is fitted of one service's backend servers. A model engine works in steps: each makes one
-// token of every running stream and reads a part of the waiting prompts, which holds the streams up. So a
-// request costs the engine the reading of its prompt alone, and its share of the steps of its events.
+// Model is the fitted performance model of one service's backend servers. A model engine works in steps: each step
+// generates one token of every running stream and prefills a part of the waiting prompts, which delays the streams.
+// So a request costs the engine the prefill of its own prompt, and its share of the steps that generate its events.
+//
+// Times are those of the reference server: a server of median speed.
 type Model struct {
 	Service string
-	// Read is the time in which the usual server reads a prompt token; zero for plain servers.
+	// Read is the reference server's prefill time per prompt token; zero for plain servers.
 	Read time.Duration
-	// Interval is the time between events at the usual server at rest, or the time of a plain answer. Under
-	// load it is longer, which the bound leaves out: it stays above what can be served.
+	// Interval is the time between events at the idle reference server, or the time of a plain response. Under
+	// load it is longer; the bound ignores this and so stays above what can be served.
 	Interval time.Duration
-	// Events and TokensPerEvent are of the usual stream.
+	// Events and TokensPerEvent are averages over the streams.
 	Events, TokensPerEvent float64
-	// Slots is how many requests the usual server works on at once.
+	// Slots is the largest number of concurrent requests of any server.
 	Slots int
-	// Speed is how many times the usual server's work each does, by ID.
+	// Speed is each server's speed relative to the reference server, by ID.
 	Speed map[string]float64
 }
 
 const (
-	// atRest is the quantile of what was observed of a server that stands for it with nothing in its way.
-	atRest = 0.1
-	// fewest observations make a server's speed; one with fewer counts as the usual one.
-	fewest = 5
-	// shortPrompt is the longest prompt, in tokens, whose first event tells how long it takes beside the
-	// reading, and longPrompt the shortest one that tells the reading speed.
-	shortPrompt = 500
-	longPrompt  = 2000
-	// manyEvents make a stream long enough to tell the time between its events.
-	manyEvents = 6
-	// defaultSlots stands where the logs do not tell.
+	// idleQuantile is the quantile of a server's observed times that is taken as its time without load.
+	idleQuantile = 0.1
+	// minObservations is the number of observations needed to estimate a server's speed. A server with fewer
+	// counts as a reference server.
+	minObservations = 5
+	// maxShortPrompt is the longest prompt, in tokens, whose time to the first event is taken as the overhead
+	// without prefill. minLongPrompt is the shortest prompt from which the prefill time is estimated.
+	maxShortPrompt = 500
+	minLongPrompt  = 2000
+	// minIntervalEvents is the number of events that a stream needs for an estimate of its event interval.
+	minIntervalEvents = 6
+	// defaultSlots is used if the logs do not contain a server's slots.
 	defaultSlots = 1
 )
 
-// observed is what the logs tell of one server: times to the first event after short prompts, after long
-// ones with their lengths, and times between events.
-type observed struct {
+// observations are the measurements of one server from the logs: times to the first event of requests with short
+// prompts, the requests with long prompts, and event intervals.
+type observations struct {
 	short, interval []time.Duration
 	long            []Request
 }
 
-// read is the time in which the server reads a token, with nothing in its way.
-func (o *observed) read() time.Duration {
-	if len(o.long) < fewest {
+// prefillPerToken returns the server's prefill time per token without load; zero with too few observations.
+func (o *observations) prefillPerToken() time.Duration {
+	if len(o.long) < minObservations {
 		return 0
 	}
-	base := quantile(o.short, atRest)
-	var each []time.Duration
+	base := quantile(o.short, idleQuantile)
+	var perToken []time.Duration
 	for _, q := range o.long {
-		each = append(each, max(0, q.First-base)/time.Duration(q.Prompt))
+		perToken = append(perToken, max(0, q.First-base)/time.Duration(q.Prompt))
 	}
-	return quantile(each, atRest)
+	return quantile(perToken, idleQuantile)
 }
 
-// fit learns the models of all services from what was answered.
+// fit fits the models of all services to the requests that were answered at the first attempt, and returns them by
+// route.
 func fit(l *Logs) map[string]*Model {
-	seen := map[string]*observed{}
+	byServer := map[string]*observations{}
 	routes := map[string]string{}
 	models := map[string]*Model{}
 	for _, q := range l.Requests {
@@ -70,22 +74,22 @@
 			continue
 		}
 		routes[q.Route] = s.Service
-		o := seen[s.ID]
+		o := byServer[s.ID]
 		if o == nil {
-			o = &observed{}
-			seen[s.ID] = o
+			o = &observations{}
+			byServer[s.ID] = o
 		}
-		o.take(q)
+		o.add(q)
 		m := models[s.Service]
 		if m == nil {
 			m = &Model{Service: s.Service, Speed: map[string]float64{}}
 			models[s.Service] = m
 		}
-		m.takeLength(q)
+		m.updateLength(q)
 		m.Slots = max(m.Slots, s.Slots, defaultSlots)
 	}
 	for _, m := range models {
-		m.finish(l, seen)
+		m.computeSpeeds(l, byServer)
 	}
 	byRoute := map[string]*Model{}
 	for route, service := range routes {
@@ -94,24 +98,24 @@
 	return byRoute
 }
 
-func (o *observed) take(q Request) {
+func (o *observations) add(q Request) {
 	if q.Prompt == 0 {
 		o.interval = append(o.interval, q.Took)
 		return
 	}
 	switch {
-	case q.Prompt <= shortPrompt:
+	case q.Prompt <= maxShortPrompt:
 		o.short = append(o.short, q.First)
-	case q.Prompt >= longPrompt:
+	case q.Prompt >= minLongPrompt:
 		o.long = append(o.long, q)
 	}
-	if q.Events >= manyEvents {
+	if q.Events >= minIntervalEvents {
 		o.interval = append(o.interval, (q.Took-q.First)/time.Duration(q.Events-1))
 	}
 }
 
-// takeLength learns how long streams are; the mean over all, as they come.
-func (m *Model) takeLength(q Request) {
+// updateLength updates the moving averages of the events per stream and the tokens per event.
+func (m *Model) updateLength(q Request) {
 	if q.Events == 0 || q.Output == 0 {
 		return
 	}
@@ -123,30 +127,31 @@
 	m.TokensPerEvent += weight * (float64(q.Output)/float64(q.Events) - m.TokensPerEvent)
 }
 
-// finish makes speeds relative to the usual server, the median, and takes its figures.
-func (m *Model) finish(l *Logs, seen map[string]*observed) {
-	var rests []time.Duration
-	var relative []float64 // reading time of a token against the time between events
-	rest := map[string]time.Duration{}
-	for id, o := range seen {
-		if l.Servers[id].Service != m.Service || len(o.interval) < fewest {
+// computeSpeeds sets the reference server's times to the medians over the servers, and each server's speed relative
+// to them.
+func (m *Model) computeSpeeds(l *Logs, byServer map[string]*observations) {
+	var intervals []time.Duration
+	var ratios []float64 // prefill time per token over event interval
+	idleInterval := map[string]time.Duration{}
+	for id, o := range byServer {
+		if l.Servers[id].Service != m.Service || len(o.interval) < minObservations {
 			continue
 		}
-		rest[id] = quantile(o.interval, atRest)
-		rests = append(rests, rest[id])
-		if read := o.read(); read > 0 && rest[id] > 0 {
-			relative = append(relative, float64(read)/float64(rest[id]))
+		idleInterval[id] = quantile(o.interval, idleQuantile)
+		intervals = append(intervals, idleInterval[id])
+		if read := o.prefillPerToken(); read > 0 && idleInterval[id] > 0 {
+			ratios = append(ratios, float64(read)/float64(idleInterval[id]))
 		}
 	}
-	usual := quantile(rests, 0.5)
-	if len(relative) > 0 {
-		slices.Sort(relative)
-		m.Read = time.Duration(relative[len(relative)/2] * float64(usual))
+	median := quantile(intervals, 0.5)
+	if len(ratios) > 0 {
+		slices.Sort(ratios)
+		m.Read = time.Duration(ratios[len(ratios)/2] * float64(median))
 	}
-	m.Interval = usual
-	for id, r := range rest {
+	m.Interval = median
+	for id, r := range idleInterval {
 		if r > 0 {
-			m.Speed[id] = float64(usual) / float64(r)
+			m.Speed[id] = float64(median) / float64(r)
 		}
 	}
 }
@@ -160,7 +165,7 @@
 	return list[int(q*float64(len(list)-1)+0.5)]
 }
 
-// speedOf is the speed of a server, that of the usual one where it was not observed.
+// speedOf returns the relative speed of a server; 1 if there were too few observations.
 func (m *Model) speedOf(id string) float64 {
 	if v, ok := m.Speed[id]; ok {
 		return v
@@ -168,7 +173,7 @@
 	return 1
 }
 
-// events is the length of a request's stream: as it was, or as estimated.
+// events returns the number of events of a request's stream, estimated if it was not answered.
 func (m *Model) events(q Request) float64 {
 	switch {
 	case q.Prompt == 0:
@@ -182,15 +187,15 @@
 	}
 }
 
-// work is the least that a request costs, in time of the whole usual server: its prompt is read alone,
-// and its events share their steps with as many others as there are places.
+// work returns the least time that a request costs the reference server: its prefill does not share steps, and its
+// events share their steps with as many other requests as there are slots.
 func (m *Model) work(q Request) time.Duration {
 	shared := m.events(q) * float64(m.Interval) / float64(max(1, m.Slots))
 	return time.Duration(q.Prompt)*m.Read + time.Duration(shared)
 }
 
-// alone is how long a request takes at the least at the fastest server, from its first event on.
-func (m *Model) alone(q Request) time.Duration {
+// minStreamTime returns the least time that a request's events take at the fastest server.
+func (m *Model) minStreamTime(q Request) time.Duration {
 	fastest := 1.0
 	for _, v := range m.Speed {
 		fastest = max(fastest, v)
--- a/internal/bound/read.go
+++ b/internal/bound/read.go
@@ -1,11 +1,11 @@
-// Package bound answers an operator's question after a bad hour: what could this fleet have served? It
-// reads the hosts' logs, fits a model of the backend servers to them, and computes what somebody who knew
-// every arrival, length and speed beforehand could have served on them at most, beside what was served and
-// why the rest was not.
+// Package bound computes an upper bound on what a fleet could have served, for the analysis of an incident. It reads
+// the hosts' logs, fits a performance model of the backend servers to them, and computes how much a scheduler that
+// knew every arrival, length and speed in advance could have served at most. It reports this bound next to what was
+// served, and the causes of the losses.
 //
-// The model (model.go) pools the backend servers of a service: work may be split over them and over time at
-// will. So the bound is above what any scheduler reaches; what is missing to it is an upper limit of what
-// better decisions could bring.
+// The model (model.go) pools the backend servers of a service: work may be split arbitrarily over servers and over
+// time. The bound is therefore higher than what any real scheduler can reach, and the gap to it limits what better
+// scheduling decisions could gain.
 package bound
 
 import (
@@ -20,20 +20,21 @@
 	"github.com/gravitational/trace"
 )
 
-// Request is one request of a caller as a host's log tells it.
+// Request is one caller's request as recorded in a host's log.
 type Request struct {
 	Route, Zone, Server string
-	// At is when it arrived, since the first line of the logs.
+	// At is the arrival time, relative to the first line of the logs.
 	At time.Duration
-	// Took is how long it was in the host's hands, First until its first event, Allowed how long its
-	// caller would wait.
+	// Took is the time from arrival to the end, First the time to the first event, and Allowed the request's
+	// timeout.
 	Took, First, Allowed time.Duration
-	// Target is its latency objective; zero where it has none.
+	// Target is the latency objective; zero if there is none.
 	Target time.Duration
-	// Prompt and Output are tokens; Output is the caller's estimate. Events came of its stream.
+	// Prompt and Output are in tokens; Output is the caller's estimate. Events is the number of stream events
+	// received.
 	Prompt, Output, Events int
 	Outcome, Late          string
-	// Attempts is how many backend servers it was sent to.
+	// Attempts is the number of backend servers the request was sent to.
 	Attempts int
 }
 
@@ -41,30 +42,31 @@
 type Server struct {
 	ID, Service string
 	Slots       int
-	// From and To are when the first host knew it and the first said that it is gone.
+	// From is when the first host knew the server, To when the first host reported it as gone or draining; zero
+	// while it serves.
 	From, To time.Duration
 }
 
-// Logs is what was read.
+// Logs is the content of the logs read so far.
 type Logs struct {
 	Requests []Request
 	Servers  map[string]*Server
-	// End is the moment of the last line.
+	// End is the time of the last line, relative to the first.
 	End time.Duration
-	// Unread counts lines that are no JSON objects.
-	Unread int
+	// Skipped counts lines that are not JSON objects with a time.
+	Skipped int
 
-	began time.Time
+	start time.Time
 	zones map[string]string
 }
 
-// NewLogs returns logs of which nothing is read yet.
+// NewLogs returns empty logs.
 func NewLogs() *Logs {
 	return &Logs{Servers: map[string]*Server{}, zones: map[string]string{}}
 }
 
-// line is what the tool needs of a host's log line.
-type line struct {
+// logLine holds the fields of a host's log line that this package uses.
+type logLine struct {
 	Time    time.Time `json:"time"`
 	Message string    `json:"message"`
 	Route   string    `json:"route"`
@@ -86,67 +88,67 @@
 	Zone    string    `json:"zone"`
 }
 
-// maxLine bounds a log line, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a log line, in bytes.
+const maxLineBytes = 1 << 20
 
-// Read adds the log of one host, or several merged ones whose lines begin with the host's name. Hosts that
-// started first are to be read first, as times count from the first line of all.
+// Read adds the log of one host, or a merged log whose lines start with the host's name. Read the log of the host
+// that started first before the others: all times are relative to the first line read.
 func (l *Logs) Read(name string, r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		at := bytes.IndexByte(s.Bytes(), '{')
 		if at < 0 {
-			l.Unread++
+			l.Skipped++
 			continue
 		}
-		var in line
+		var in logLine
 		if json.Unmarshal(s.Bytes()[at:], &in) != nil || in.Time.IsZero() {
-			l.Unread++
+			l.Skipped++
 			continue
 		}
-		l.take(source(name, string(s.Bytes()[:at])), in)
+		l.add(sourceHost(name, string(s.Bytes()[:at])), in)
 	}
-	return trace.Wrap(s.Err(), "reading %s; give the hosts' logs as they wrote them", name)
+	return trace.Wrap(s.Err(), "reading %s; give the unmodified logs of the hosts", name)
 }
 
-// source is the host that wrote a line: the last word before its JSON, or the file.
-func source(file, prefix string) string {
+// sourceHost returns the host that wrote a line: the last word before its JSON or, without one, the file's name.
+func sourceHost(file, prefix string) string {
 	if words := strings.Fields(prefix); len(words) > 0 {
 		return words[len(words)-1]
 	}
 	return file
 }
 
-func (l *Logs) take(host string, in line) {
-	if l.began.IsZero() {
-		l.began = in.Time
+func (l *Logs) add(host string, in logLine) {
+	if l.start.IsZero() {
+		l.start = in.Time
 	}
-	now := in.Time.Sub(l.began)
+	now := in.Time.Sub(l.start)
 	l.End = max(l.End, now)
 	switch in.Message {
 	case "Serving.":
 		l.zones[host] = in.Zone
 	case "Cluster state changed.", "Belief changed.": // the latter in logs of earlier builds
-		l.believe(now, in)
+		l.applyServerChange(now, in)
 	case "Ended.":
-		l.ended(host, now, in)
+		l.addRequest(host, now, in)
 	}
 }
 
-// believe takes what a host heard of backend servers.
-func (l *Logs) believe(now time.Duration, in line) {
+// applyServerChange updates the backend servers from a state change that a host logged.
+func (l *Logs) applyServerChange(now time.Duration, in logLine) {
 	switch in.What {
 	case "backend server joined", "backend server started again":
-		s := l.server(in.Subject, now)
-		s.To = 0 // it lapsed and is back
+		s := l.findOrAddServer(in.Subject, now)
+		s.To = 0 // its registration had lapsed and was renewed
 		words := strings.Fields(in.Detail)
 		if len(words) > 0 {
 			s.Service = words[0]
 		}
 		for _, w := range words {
 			if v, ok := strings.CutPrefix(w, "slots="); ok {
-				s.Slots, _ = strconv.Atoi(v) // zero, and then the model's default, where it is none
+				s.Slots, _ = strconv.Atoi(v) // if malformed, zero: the model then uses its default
 			}
 		}
 	case "backend server gone", "backend server drains":
@@ -156,7 +158,7 @@
 	}
 }
 
-func (l *Logs) server(id string, now time.Duration) *Server {
+func (l *Logs) findOrAddServer(id string, now time.Duration) *Server {
 	s, ok := l.Servers[id]
 	if !ok {
 		s = &Server{ID: id, From: now}
@@ -165,9 +167,9 @@
 	return s
 }
 
-func (l *Logs) ended(host string, now time.Duration, in line) {
+func (l *Logs) addRequest(host string, now time.Duration, in logLine) {
 	if in.Route == "" {
-		return // no route: nobody's to serve
+		return // no route matched, so no service was responsible for the request
 	}
 	q := Request{Route: in.Route, Zone: l.zones[host], Server: in.Backend, Took: millis(in.MS), First: millis(in.First),
 		Allowed: millis(in.Allowed), Target: millis(in.Target), Prompt: in.Prompt, Output: in.Output, Events: in.Events,
@@ -177,7 +179,7 @@
 		q.Output = min(q.Output, in.Hint)
 	}
 	if in.Backend != "" {
-		if s := l.server(in.Backend, q.At); s.To > 0 && s.To < q.At {
+		if s := l.findOrAddServer(in.Backend, q.At); s.To > 0 && s.To < q.At {
 			s.To = 0
 		}
 	}
--- a/internal/bound/report.go
+++ b/internal/bound/report.go
@@ -16,35 +16,35 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Cause is why a request was not served in time.
+// Cause is the reason why a request was not served in time.
 type Cause string
 
-// The causes. OverLimit is not owed: its workspace asked for more than its quota.
+// The causes. Requests with OverLimit do not count as owed, because their workspace exceeded its quota.
 const (
-	OverLimit Cause = "over the limit"
-	NoRoom    Cause = "no room"
-	LateFirst Cause = "late first event"
-	LatePause Cause = "late by a pause"
-	LateWhole Cause = "late answer"
-	Broken    Cause = "broken"
-	NotYet    Cause = "not serving"
+	OverLimit  Cause = "over the limit"
+	NoCapacity Cause = "no room"
+	LateFirst  Cause = "late first event"
+	LatePause  Cause = "late by a pause"
+	LateAnswer Cause = "late answer"
+	Failed     Cause = "broken"
+	NotServing Cause = "not serving"
 )
 
-// causes in the order of the table.
-var causes = []Cause{NoRoom, LateFirst, LatePause, LateWhole, Broken, NotYet}
+// causes lists the table's columns in order.
+var causes = []Cause{NoCapacity, LateFirst, LatePause, LateAnswer, Failed, NotServing}
 
-// outcomes tells the cause by the log's word for a request's end.
-var outcomes = map[string]Cause{
-	"over_quota": OverLimit, "overloaded": NoRoom, "no_configuration": NotYet, "no_backend": NotYet, "shutting_down": NotYet,
+// causeByOutcome maps the outcome in the log to its cause. Other outcomes count as Failed.
+var causeByOutcome = map[string]Cause{
+	"over_quota": OverLimit, "overloaded": NoCapacity, "no_configuration": NotServing, "no_backend": NotServing, "shutting_down": NotServing,
 }
 
-var lateness = map[string]Cause{"first": LateFirst, "pause": LatePause, "answer": LateWhole}
+var causeByLateness = map[string]Cause{"first": LateFirst, "pause": LatePause, "answer": LateAnswer}
 
-// callersOwn are ends that no scheduler could change.
-var callersOwn = []string{"unknown_key", "no_route", "body_too_large", "slow_body", "body_broken"}
+// callerOutcomes are outcomes that the caller caused and no scheduler could change.
+var callerOutcomes = []string{"unknown_key", "no_route", "body_too_large", "slow_body", "body_broken"}
 
-// scored is a request with its weight and what the bound gives it.
-type scored struct {
+// scoredRequest is a request with its weight, the share of it that was served, and its share in the bound.
+type scoredRequest struct {
 	Request
 	Weight, Served, Bound float64
 	inTime, late          float64
@@ -52,20 +52,20 @@
 	work                  time.Duration
 }
 
-// Options are the operator's choices.
+// Options set how requests are weighted and grouped.
 type Options struct {
-	// Weights are the routes' weights; one where none is given.
+	// Weights are the routes' weights; 1 for a route that is not listed.
 	Weights map[string]float64
-	// BySize weighs a request by its size too: three tenths, and seven tenths of its tokens against the
-	// mean of its route, at most four times the mean.
+	// BySize multiplies a request's weight by 0.3 plus 0.7 times its size relative to the mean of its route, at
+	// most 4.
 	BySize bool
-	// LateShare is what an answer is worth that comes, but late.
+	// LateShare is the value of a late response relative to one in time.
 	LateShare float64
-	// Window is the length of the rows by time.
+	// Window is the length of the rows by time; at least 1 s.
 	Window time.Duration
 }
 
-// Row is one line of the result. Shares are of the weight owed.
+// Row is one line of the result. Served, Bound and Lost are shares of Weight, the total weight of the requests owed.
 type Row struct {
 	Name   string
 	Owed   int
@@ -73,12 +73,12 @@
 	Served float64
 	Bound  float64
 	Lost   map[Cause]float64
-	// Used is the work of all that was sent to model engines against what these can do in the time, by
-	// the moment of arrival; zero where the row is not a time.
+	// Used is the utilization of the model engines: the work of all requests sent to them, by arrival time,
+	// relative to their capacity. It is zero in rows that are not time windows.
 	Used float64
 }
 
-// Result is what was owed, served and could have been, in several cuts.
+// Result compares what was owed, served and possible, in total and by route, zone and time window.
 type Result struct {
 	Models                      []*Model
 	Total                       Row
@@ -86,17 +86,17 @@
 	RefusedOverLimit, CallerOwn int
 }
 
-// Compute judges logs.
+// Compute fits the models to the logs and computes the result.
 func Compute(l *Logs, opt Options) *Result {
 	models := fit(l)
 	res := &Result{}
-	byService := map[*Model][]*scored{}
-	var all []*scored
+	byService := map[*Model][]*scoredRequest{}
+	var all []*scoredRequest
 	sizes := meanSizes(l.Requests)
 	for _, q := range l.Requests {
 		s := score(q, opt, sizes[q.Route])
 		switch {
-		case slices.Contains(callersOwn, q.Outcome):
+		case slices.Contains(callerOutcomes, q.Outcome):
 			res.CallerOwn++
 			continue
 		case s.cause == OverLimit:
@@ -105,7 +105,7 @@
 		}
 		m := models[q.Route]
 		if m == nil {
-			continue // nothing of the route was ever answered: there is no model of it
+			continue // no request on the route was answered, so there is no model for it
 		}
 		all = append(all, s)
 		byService[m] = append(byService[m], s)
@@ -115,12 +115,12 @@
 		res.Models = append(res.Models, m)
 		solve(l, m, byService[m], opt.LateShare)
 	}
-	res.Total = sum("all", all)
-	res.ByRoute = group(all, func(s *scored) string { return s.Route })
-	res.ByZone = group(all, func(s *scored) string { return s.Zone })
+	res.Total = newRow("all", all)
+	res.ByRoute = groupRows(all, func(s *scoredRequest) string { return s.Route })
+	res.ByZone = groupRows(all, func(s *scoredRequest) string { return s.Zone })
 	window := max(opt.Window, time.Second)
-	res.ByWindow = group(all, func(s *scored) string { return windowName(s.At, window) })
-	res.use(l, all, window)
+	res.ByWindow = groupRows(all, func(s *scoredRequest) string { return windowName(s.At, window) })
+	res.setUtilization(l, all, window)
 	return res
 }
 
@@ -128,46 +128,46 @@
 	return fmt.Sprintf("%6.0f s", (at / window * window).Seconds())
 }
 
-// use fills in how busy the engines were in each window.
-func (r *Result) use(l *Logs, all []*scored, window time.Duration) {
+// setUtilization sets the utilization of the engines in each time window.
+func (r *Result) setUtilization(l *Logs, all []*scoredRequest, window time.Duration) {
 	work := map[string]time.Duration{}
 	for _, s := range all {
 		if s.Attempts > 0 && s.Prompt > 0 {
 			work[windowName(s.At, window)] += s.work
 		}
 	}
-	can := map[string]float64{}
+	available := map[string]float64{}
 	for _, m := range r.Models {
 		if m.Read == 0 {
 			continue
 		}
 		for i, v := range serverTime(l, m, window) {
-			can[windowName(time.Duration(i)*window, window)] += v
+			available[windowName(time.Duration(i)*window, window)] += v
 		}
 	}
 	for i := range r.ByWindow {
-		if name := r.ByWindow[i].Name; can[name] > 0 {
-			r.ByWindow[i].Used = float64(work[name]) / can[name]
+		if name := r.ByWindow[i].Name; available[name] > 0 {
+			r.ByWindow[i].Used = float64(work[name]) / available[name]
 		}
 	}
 }
 
-// tokens is the size of a request.
-func tokens(q Request) float64 { return float64(q.Prompt + outputWeight*q.Output) }
+// size returns a request's size in prompt tokens, with output tokens weighted by outputWeight.
+func size(q Request) float64 { return float64(q.Prompt + outputWeight*q.Output) }
 
 const (
-	// outputWeight is how much more an output token counts than one of the prompt.
+	// outputWeight is the weight of an output token relative to a prompt token.
 	outputWeight = 10
-	// sizeBase is the part of a request's weight that does not depend on its size, and sizeMost bounds
-	// the size that counts, in means of its route.
-	sizeBase = 0.3
-	sizeMost = 4
+	// fixedWeight is the part of a request's weight that does not depend on its size. maxSizeRatio bounds the
+	// weight factor of large requests.
+	fixedWeight  = 0.3
+	maxSizeRatio = 4
 )
 
 func meanSizes(list []Request) map[string]float64 {
 	sum, n := map[string]float64{}, map[string]float64{}
 	for _, q := range list {
-		sum[q.Route] += tokens(q)
+		sum[q.Route] += size(q)
 		n[q.Route]++
 	}
 	for route := range sum {
@@ -176,30 +176,30 @@
 	return sum
 }
 
-func score(q Request, opt Options, mean float64) *scored {
-	s := &scored{Request: q, Weight: 1}
+func score(q Request, opt Options, mean float64) *scoredRequest {
+	s := &scoredRequest{Request: q, Weight: 1}
 	if w, ok := opt.Weights[q.Route]; ok {
 		s.Weight = w
 	}
 	if opt.BySize && mean > 0 {
-		s.Weight *= min(sizeMost, sizeBase+(1-sizeBase)*tokens(q)/mean)
+		s.Weight *= min(maxSizeRatio, fixedWeight+(1-fixedWeight)*size(q)/mean)
 	}
 	switch {
 	case q.Outcome == "answered" && q.Late == "":
 		s.Served = 1
 	case q.Outcome == "answered":
 		s.Served = opt.LateShare
-		s.cause = lateness[q.Late]
+		s.cause = causeByLateness[q.Late]
 	default:
-		s.cause = Broken
-		if c, ok := outcomes[q.Outcome]; ok {
+		s.cause = Failed
+		if c, ok := causeByOutcome[q.Outcome]; ok {
 			s.cause = c
 		}
 	}
 	return s
 }
 
-func sum(name string, list []*scored) Row {
+func newRow(name string, list []*scoredRequest) Row {
 	r := Row{Name: name, Lost: map[Cause]float64{}}
 	for _, s := range list {
 		r.Owed++
@@ -221,19 +221,19 @@
 	return r
 }
 
-func group(list []*scored, key func(*scored) string) []Row {
-	groups := map[string][]*scored{}
+func groupRows(list []*scoredRequest, key func(*scoredRequest) string) []Row {
+	groups := map[string][]*scoredRequest{}
 	for _, s := range list {
 		groups[key(s)] = append(groups[key(s)], s)
 	}
 	var out []Row
 	for _, name := range slices.Sorted(maps.Keys(groups)) {
-		out = append(out, sum(name, groups[name]))
+		out = append(out, newRow(name, groups[name]))
 	}
 	return out
 }
 
-// Table writes the result for people.
+// Table writes the result as a text table.
 func (r *Result) Table(w io.Writer) {
 	for _, m := range r.Models {
 		fmt.Fprintf(w, "%s: %d servers observed, %d slots, reads a token in %.1f us, an event or answer takes %.1f ms at rest\n", m.Service, len(m.Speed),
@@ -263,24 +263,24 @@
 	fmt.Fprintln(w)
 }
 
-// JSON writes the result for programs.
+// JSON writes the result as JSON.
 func (r *Result) JSON(w io.Writer) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", " ")
 	return trace.Wrap(e.Encode(r))
 }
 
-// Plot draws what was served and what could have been over time, as SVG or PNG by the path's ending.
+// Plot draws the served and possible shares over time. The extension of path selects SVG or PNG.
 func (r *Result) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "served and possible", "window", "share of the weight owed"
 	p.Y.Min, p.Y.Max = 0, 1
-	served, most := plotter.XYs{}, plotter.XYs{}
+	served, possible := plotter.XYs{}, plotter.XYs{}
 	for i, row := range r.ByWindow {
 		served = append(served, plotter.XY{X: float64(i), Y: row.Served})
-		most = append(most, plotter.XY{X: float64(i), Y: row.Bound})
+		possible = append(possible, plotter.XY{X: float64(i), Y: row.Bound})
 	}
-	if err := plotutil.AddLinePoints(p, "served", served, "bound", most); err != nil {
+	if err := plotutil.AddLinePoints(p, "served", served, "bound", possible); err != nil {
 		return trace.Wrap(err)
 	}
 	return trace.Wrap(p.Save(16*vg.Centimeter, 10*vg.Centimeter, path))
--- a/internal/bound/solve.go
+++ b/internal/bound/solve.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// maxCells bounds the grid of moments: the solver holds a triangle of its square.
+// maxCells bounds the number of time cells: the solver's memory grows with its square.
 const maxCells = 600
 
-// capacity is what a service's servers can do in each cell of time, in work of the usual server.
+// capacity is the work that a service's servers can do per time cell, in time of the reference server.
 type capacity struct {
 	cell time.Duration
-	// slack[s][t-s] is what is left to give to work that has to lie inside the cells s to t.
+	// slack[s][t-s] is the unallocated capacity for work that must be done within the cells s to t.
 	slack [][]float64
 }
 
-// serverTime adds up what a service's servers can do in each cell of time, in work of the usual one.
+// serverTime returns the work that a service's servers can do in each time cell, in time of the reference server.
 func serverTime(l *Logs, m *Model, cell time.Duration) []float64 {
 	per := make([]float64, int(l.End/cell)+1)
 	for _, s := range l.Servers {
@@ -52,11 +52,11 @@
 	return c
 }
 
-// take gives as much of some work as fits between two moments beside what was given before, and returns it.
-// Work that may be split and moved within its window fits if and only if no span of time is given more than
-// it has, summed over all windows inside it. The sets of work that fit form a polymatroid, so that giving
-// in order of worth, each as much as fits, is best.
-func (c *capacity) take(from, to time.Duration, work float64) float64 {
+// allocate allocates as much of the given work as fits between two times beside earlier allocations, and returns the
+// amount. Work that may be split and moved within its window fits if and only if no span of time is allocated more
+// than its capacity, summed over all windows inside the span. The feasible allocations form a polymatroid, so the
+// greedy algorithm is optimal: in order of value, allocate to each as much as fits.
+func (c *capacity) allocate(from, to time.Duration, work float64) float64 {
 	last := len(c.slack) - 1
 	a := min(max(0, int(from/c.cell)), last)
 	d := min(max(a, int(to/c.cell)), last)
@@ -79,16 +79,17 @@
 	return fits
 }
 
-// job is one request before the solver.
+// job is one request in the solver.
 type job struct {
-	q      *scored
+	q      *scoredRequest
 	work   float64
-	target time.Duration // until when its work is done in time
-	last   time.Duration // until when at all
+	target time.Duration // work done by then is in time
+	last   time.Duration // work done by then is late, but counts
 }
 
-// solve gives each request of one service its share of the best: in time first, then late.
-func solve(l *Logs, m *Model, list []*scored, lateShare float64) {
+// solve sets the bound of each request of one service. Requests with the highest weight per work come first; work
+// that is in time is allocated before work that is late.
+func solve(l *Logs, m *Model, list []*scoredRequest, lateShare float64) {
 	cell := max(l.End/maxCells, time.Millisecond)
 	c := newCapacity(l, m, cell)
 	var jobs []job
@@ -97,7 +98,7 @@
 		work := float64(s.work)
 		target := s.At + s.Allowed
 		if s.Target > 0 {
-			target = min(target, s.At+s.Target+m.alone(s.Request))
+			target = min(target, s.At+s.Target+m.minStreamTime(s.Request))
 		}
 		jobs = append(jobs, job{s, max(1, work), target, s.At + max(s.Allowed, s.Target)})
 	}
@@ -107,12 +108,12 @@
 	slices.SortStableFunc(jobs, byDensity)
 	for i := range jobs {
 		j := &jobs[i]
-		j.q.inTime = c.take(j.q.At, j.target, j.work) / j.work
+		j.q.inTime = c.allocate(j.q.At, j.target, j.work) / j.work
 	}
 	for i := range jobs {
 		j := &jobs[i]
 		if left := 1 - j.q.inTime; left > 0 && j.last > j.target {
-			j.q.late = c.take(j.q.At, j.last, left*j.work) / j.work
+			j.q.late = c.allocate(j.q.At, j.last, left*j.work) / j.work
 		}
 		j.q.Bound = j.q.inTime + lateShare*j.q.late
 	}
