--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -23,7 +23,7 @@
 	stateClosing
 )
 
-func (p connState) inUse() bool { return p == stateReading || p == stateServing }
+func (s connState) inUse() bool { return s == stateReading || s == stateServing }
 
 // conn is a caller's connection.
 type conn struct {
--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -141,7 +141,7 @@
 }
 
 // setState changes a connection's state; stateClosing is final. The caller holds the lock.
-func (c *Connections) setState(k *conn, p connState) {
+func (c *Connections) setState(k *conn, s connState) {
 	previous := k.load()
 	if previous == stateClosing {
 		return
@@ -149,14 +149,14 @@
 	if previous.inUse() {
 		c.inUse--
 	}
-	if p.inUse() {
+	if s.inUse() {
 		c.inUse++
 	}
-	k.state.Store(int32(p))
+	k.state.Store(int32(s))
 }
 
-// startReading records bytes of a request on a connection. It reports false if the connection is closing and the bytes
-// are to be discarded.
+// startReading marks an idle connection as reading when bytes of a request arrive. It reports false if the connection
+// is closing and the bytes are to be discarded.
 func (c *Connections) startReading(k *conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/quarantine/blame_test.go
+++ b/internal/quarantine/blame_test.go
@@ -53,7 +53,8 @@
 	})
 }
 
-// fullLedger returns a ledger at its capacity: four workspaces with four requests for each set of three ends.
+// fullLedger returns a ledger at its capacity, in groups of four requests, one of each of four workspaces, that share
+// the same three ends.
 func fullLedger() *Ledger {
 	l := NewLedger()
 	for w := range maxCases / maxCasesPerWorkspace {
