--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -272,9 +272,9 @@
 	case p.Relay != nil:
 		n.control.Post(router.RelayReceived{From: from, Relay: p.Relay})
 	case p.Charge != nil:
-		n.control.Post(router.ChargeRequestReceived{From: from, Charge: p.Charge})
+		n.control.Post(router.QuotaRequestReceived{From: from, Charge: p.Charge})
 	case p.Charged != nil:
-		n.control.Post(router.ChargeResponseReceived{From: from, Charged: p.Charged})
+		n.control.Post(router.QuotaReplyReceived{From: from, Charged: p.Charged})
 	}
 }
 
--- a/internal/router/backends.go
+++ b/internal/router/backends.go
@@ -26,7 +26,7 @@
 	registeredRevision routing.Revision
 	removed            bool
 	removedAt          time.Duration
-	usableUntil        time.Duration
+	graceUntil         time.Duration
 	// ownLoad and othersLoad are the load from this host and from the other hosts, by their latest heartbeats.
 	ownLoad, othersLoad load
 	// othersReportedAt is when other hosts' load was last reported.
@@ -118,7 +118,7 @@
 // excluded returns why a backend server may get no new requests, or notExcluded.
 func (b *backend) excluded(now time.Duration) exclusion {
 	switch {
-	case b.removed && now >= b.usableUntil:
+	case b.removed && now >= b.graceUntil:
 		return gone
 	case b.evacuated:
 		return evacuated
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -104,7 +104,7 @@
 	if bound <= 0 || r.now < minColdSenderAge || !r.exchangesHeartbeats(b.Zone) || r.noPeersSeen() {
 		return 0
 	}
-	allowed := bound*max(1, r.opt.Bounds.ColdOver) + r.opt.Bounds.ColdSlack
+	allowed := bound*max(1, r.opt.Bounds.ColdOverage) + r.opt.Bounds.ColdSlack
 	// Each sender may have saved one token, besides those that accrue during a second.
 	senders := min(maxColdSenders, max(1, int(coldBurstShare*(allowed-bound))))
 	before, hosts := 0, 1
--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -20,7 +20,7 @@
 	testColdBound = testColdRate*1.5 + 5
 )
 
-var coldBounds = Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, ColdOver: 1.5, ColdSlack: 5}
+var coldBounds = Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, ColdOverage: 1.5, ColdSlack: 5}
 
 // coldFleet is a fleet whose backend servers bear few requests after their start.
 type coldFleet struct {
@@ -253,7 +253,7 @@
 func TestColdServersWithTightBounds(t *testing.T) {
 	for _, b := range []struct{ rate, over, slack float64 }{{1, 1.5, 0}, {0.5, 1, 1}, {20, 1, 0}, {3, 0, 0}, {0.2, 1, 0}} {
 		r := lone(t, "a")
-		r.opt.Bounds.ColdOver, r.opt.Bounds.ColdSlack = b.over, b.slack
+		r.opt.Bounds.ColdOverage, r.opt.Bounds.ColdSlack = b.over, b.slack
 		r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 			Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: b.rate}}}}})
 		ch := changeOf("a", 60, false)
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -117,14 +117,14 @@
 	Ask  *gossippb.Ask
 }
 
-// ChargeRequestReceived is another host's request to charge a workspace's quota, which this host owns.
-type ChargeRequestReceived struct {
+// QuotaRequestReceived is another host's request to charge a workspace's quota, which this host owns.
+type QuotaRequestReceived struct {
 	From   string
 	Charge *gossippb.Charge
 }
 
-// ChargeResponseReceived is a quota owner's response to this host's charge request.
-type ChargeResponseReceived struct {
+// QuotaReplyReceived is a quota owner's response to this host's charge request.
+type QuotaReplyReceived struct {
 	From    string
 	Charged *gossippb.Charged
 }
@@ -179,27 +179,27 @@
 	Bounds Bounds
 }
 
-func (ChargeRequestReceived) event()  {}
-func (ChargeResponseReceived) event() {}
-func (SettingsChanged) event()        {}
-func (ProbeResult) event()            {}
-func (BackendAnnouncement) event()    {}
-func (SlotRequestReceived) event()    {}
-func (SlotOfferReceived) event()      {}
-func (ReportReceived) event()         {}
-func (OccupancyReceived) event()      {}
-func (RelayReceived) event()          {}
-func (Tick) event()                   {}
-func (Submit) event()                 {}
-func (StreamStarted) event()          {}
-func (StreamProgress) event()         {}
-func (Stalled) event()                {}
-func (CallerLeft) event()             {}
-func (DispatchEnded) event()          {}
-func (HeartbeatReceived) event()      {}
-func (Update) event()                 {}
-func (StoreStatus) event()            {}
-func (Drain) event()                  {}
+func (QuotaRequestReceived) event() {}
+func (QuotaReplyReceived) event()   {}
+func (SettingsChanged) event()      {}
+func (ProbeResult) event()          {}
+func (BackendAnnouncement) event()  {}
+func (SlotRequestReceived) event()  {}
+func (SlotOfferReceived) event()    {}
+func (ReportReceived) event()       {}
+func (OccupancyReceived) event()    {}
+func (RelayReceived) event()        {}
+func (Tick) event()                 {}
+func (Submit) event()               {}
+func (StreamStarted) event()        {}
+func (StreamProgress) event()       {}
+func (Stalled) event()              {}
+func (CallerLeft) event()           {}
+func (DispatchEnded) event()        {}
+func (HeartbeatReceived) event()    {}
+func (Update) event()               {}
+func (StoreStatus) event()          {}
+func (Drain) event()                {}
 
 // Effect is an output of the reducer, carried out by the node.
 type Effect interface{ effect() }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -150,17 +150,17 @@
 	if known && b.Incarnation == m.incarnation && b.Seq <= m.seq {
 		return
 	}
-	var replaced uint64
+	var previous uint64
 	if known && b.Incarnation != m.incarnation {
 		if b.Incarnation == m.previousIncarnation {
 			return
 		}
-		replaced = m.incarnation
+		previous = m.incarnation
 		r.removeMember(m)
 		known = false
 	}
 	if !known {
-		m = &member{host: b.Host, quotaKey: b.Host + "/" + formatBase36(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, previousIncarnation: replaced,
+		m = &member{host: b.Host, quotaKey: b.Host + "/" + formatBase36(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, previousIncarnation: previous,
 			spent: map[string]uint64{}, startedAt: r.now - time.Duration(b.AgeMs)*time.Millisecond}
 		r.members.byHost[b.Host] = m
 		r.recordZone(b.Host, b.Zone)
@@ -233,24 +233,24 @@
 
 // updateReportCounts adjusts, for each backend server, the number of hosts that report it, when one host's report changes
 // from was to now.
-func (r *Router) updateReportCounts(was, now []uint32, hosts func(*backend) *int) {
+func (r *Router) updateReportCounts(was, now []uint32, reports func(*backend) *int) {
 	for _, hash := range was {
 		if b, ok := r.byHash[hash]; ok {
-			*hosts(b)--
+			*reports(b)--
 		}
 	}
 	for _, hash := range now {
 		if b, ok := r.byHash[hash]; ok {
-			*hosts(b)++
+			*reports(b)++
 		}
 	}
 }
 
 // countReporting counts the hosts whose report includes a backend server.
-func (r *Router) countReporting(hash uint32, names func(*member) []uint32) int {
+func (r *Router) countReporting(hash uint32, reported func(*member) []uint32) int {
 	n := 0
 	for _, h := range r.members.order {
-		if slices.Contains(names(r.members.byHost[h]), hash) {
+		if slices.Contains(reported(r.members.byHost[h]), hash) {
 			n++
 		}
 	}
@@ -291,28 +291,28 @@
 
 // expireMembers stops counting the loads of unreachable hosts, and forgets such hosts after hostTTL.
 func (r *Router) expireMembers() {
-	patience := r.hostTimeout()
+	timeout := r.hostTimeout()
 	for _, host := range slices.Clone(r.members.order) {
 		m := r.members.byHost[host]
-		quiet := r.now - m.lastSeen
-		if quiet > patience && !r.exchangesHeartbeats(m.zone) {
+		age := r.now - m.lastSeen
+		if age > timeout && !r.exchangesHeartbeats(m.zone) {
 			// A host of another zone sends heartbeats only while it is a zone reporter or has requests here.
 			r.removeMember(m)
 			continue
 		}
-		if quiet > patience && !m.unreachable {
+		if age > timeout && !m.unreachable {
 			m.unreachable = true
 			r.membersChanged()
 			r.addOthersLoads(m.loads, -1)
 			m.loads = nil
 			r.applyDead(m, nil)
 			r.applyFailing(m, nil)
-			r.emit(Note{What: "host unreachable", Subject: host, Age: quiet})
+			r.emit(Note{What: "host unreachable", Subject: host, Age: age})
 		}
-		if quiet > hostTTL || (m.unreachable && m.leaving) {
+		if age > hostTTL || (m.unreachable && m.leaving) {
 			r.removeMember(m)
 			r.members.contactAt[host] = r.now
-			r.emit(Note{What: "host forgotten", Subject: host, Age: quiet})
+			r.emit(Note{What: "host forgotten", Subject: host, Age: age})
 		}
 	}
 }
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -71,7 +71,7 @@
 	return r.table.Config.Version
 }
 
-func (r *Router) storeContact(ok bool) {
+func (r *Router) handleStoreStatus(ok bool) {
 	if r.updates.storeTriedAt == 0 {
 		r.updates.storeTriedAt = max(1, r.now)
 	}
@@ -96,7 +96,7 @@
 // registration decide, so updates may arrive in any order, and an outdated peer or a stale read cannot undo anything.
 func (r *Router) applyUpdate(n Update) {
 	if n.FromStore {
-		r.storeContact(true)
+		r.handleStoreStatus(true)
 		r.updates.synced = true
 		r.updates.storeAnsweredAt = r.now
 	}
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -151,7 +151,7 @@
 	}
 	hosts := r.eligibleOwners()
 	r.owners.candidates = hosts
-	clear(r.limits.owners)
+	clear(r.quotaState.owners)
 	owned := r.owners.ownedShards
 	r.owners.ownedShards = 0
 	for s := range r.owners.byShard {
--- a/internal/router/peers.go
+++ b/internal/router/peers.go
@@ -30,20 +30,20 @@
 }
 
 // samplePeers returns at most so many hosts of a zone, chosen at random.
-func (r *Router) samplePeers(zone string, hosts []string, most int) []*gossippb.Peer {
+func (r *Router) samplePeers(zone string, hosts []string, limit int) []*gossippb.Peer {
 	slices.Sort(hosts)
 	var out []*gossippb.Peer
-	for _, h := range r.sample(hosts, most) {
+	for _, h := range r.sample(hosts, limit) {
 		out = append(out, &gossippb.Peer{Host: h, Zone: zone})
 	}
 	return out
 }
 
 // sample returns at most so many consecutive elements of a list, from a random one on.
-func (r *Router) sample(list []string, most int) []string {
+func (r *Router) sample(list []string, limit int) []string {
 	var out []string
 	at := r.rng.IntN(max(1, len(list)))
-	for i := range min(len(list), most) {
+	for i := range min(len(list), limit) {
 		out = append(out, list[(at+i)%len(list)])
 	}
 	return out
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -44,7 +44,7 @@
 func newWorkspace(t testing.TB, hostsPerZone int, rate float64) *hotWorkspace {
 	f := &hotWorkspace{zone: newZones(t, 6, hostsPerZone, 60), byHost: map[string]float64{}, times: 6,
 		workspace: routing.Workspace{Name: "w", Rate: rate, Burst: rate, InTokens: true},
-		bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, QuotaWindow: quotaWindow, QuotaOver: 0.25,
+		bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, QuotaWindow: quotaWindow, QuotaOverage: 0.25,
 			QuotaSlack: 190_000}}
 	for _, h := range f.hosts {
 		f.post(h, SettingsChanged{Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
@@ -83,7 +83,7 @@
 
 // worst is the most that was admitted in a window, as a part of the operators' bound.
 func (f *hotWorkspace) worst() float64 {
-	bound := (f.workspace.Rate*quotaWindow.Seconds()+f.workspace.Rate)*(1+f.bounds.QuotaOver) + f.bounds.QuotaSlack
+	bound := (f.workspace.Rate*quotaWindow.Seconds()+f.workspace.Rate)*(1+f.bounds.QuotaOverage) + f.bounds.QuotaSlack
 	steps, worst := int(quotaWindow/quotaStep), 0.0
 	for from := 0; from+steps <= len(f.admitted); from++ {
 		sum := 0.0
@@ -298,7 +298,7 @@
 	for _, h := range f.hosts[:16] {
 		require.Equal(t, owners, h.r.quotaOwners("w"), "%s", h.ip)
 		var answer *gossippb.Charged
-		for _, e := range effectsOf[Send](h.r.Reduce(f.now, ChargeRequestReceived{"10.0.0.99", &gossippb.Charge{Number: 1, Workspace: "w", Cost: 10}})) {
+		for _, e := range effectsOf[Send](h.r.Reduce(f.now, QuotaRequestReceived{"10.0.0.99", &gossippb.Charge{Number: 1, Workspace: "w", Cost: 10}})) {
 			answer = e.Packet.Charged
 		}
 		require.NotNil(t, answer)
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -85,13 +85,13 @@
 		return nil
 	}
 	r.localShardOwners() // resets the owners of quotas if the hosts have changed
-	owners, known := r.limits.owners[workspace]
+	owners, known := r.quotaState.owners[workspace]
 	if !known {
 		if r.owners.established {
 			first, second := rendezvousTopTwo(r.owners.candidates, xxhash.Sum64String("quota|"+workspace))
 			owners = slices.DeleteFunc([]string{first, second}, func(h string) bool { return h == "" })
 		}
-		r.limits.owners[workspace] = owners
+		r.quotaState.owners[workspace] = owners
 	}
 	return owners
 }
@@ -136,9 +136,9 @@
 }
 
 func (r *Router) requestQuota(q *request, owner string) {
-	c := &quotaRequest{ownerCall{number: r.limits.pending.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.Workspace.Name, q.Cost}
+	c := &quotaRequest{ownerCall{number: r.quotaState.pending.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.Workspace.Name, q.Cost}
 	q.quotaCall = c
-	r.limits.pending.add(c)
+	r.quotaState.pending.add(c)
 	r.sendQuotaRequest(owner, &gossippb.Charge{Number: c.number, Workspace: c.workspace, Cost: c.cost})
 }
 
@@ -178,7 +178,7 @@
 
 // handleQuotaReply processes an owner's reply.
 func (r *Router) handleQuotaReply(from string, a *gossippb.Charged) {
-	c, ok := r.limits.pending.take(from, a.Number)
+	c, ok := r.quotaState.pending.take(from, a.Number)
 	if !ok {
 		return
 	}
@@ -221,7 +221,7 @@
 
 // expireQuotaRequests passes requests whose owner did not reply in time to the next owner, or decides locally.
 func (r *Router) expireQuotaRequests() {
-	for _, c := range r.limits.pending.overdue(r.now) {
+	for _, c := range r.quotaState.pending.overdue(r.now) {
 		r.replyMissed(c.owner)
 		if q, ok := r.requests[c.requestID]; ok && q.quotaCall == c {
 			r.chargeAtNextOwner(q)
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -168,21 +168,21 @@
 	r.dropFingerprint(b)
 	b.revision, b.removedRevision = ch.Revision, ch.Revision
 	if ch.Foreign {
-		b.usableUntil = 0
+		b.graceUntil = 0
 	}
 	if b.removed {
 		return
 	}
 	r.updates.changes++
-	b.removed, b.removedAt, b.usableUntil = true, r.now, 0
+	b.removed, b.removedAt, b.graceUntil = true, r.now, 0
 	r.tombstones[b.ID] = b
 	r.owners.valid = false
 	if !b.Draining && !ch.Foreign && (r.updates.storeLost || r.now-r.updates.storeBackAt < lapseWindow) {
-		b.usableUntil = r.now + lapsedGracePeriod
+		b.graceUntil = r.now + lapsedGracePeriod
 	}
-	if !b.Draining && !b.leaving && !ch.Foreign && b.usableUntil == 0 {
+	if !b.Draining && !b.leaving && !ch.Foreign && b.graceUntil == 0 {
 		r.recordBackendEnd(b)
 	}
-	r.emit(Note{What: "backend server gone", Subject: b.ID, Detail: fmt.Sprintf("%s doubt=%t foreign=%t", b.Service, b.usableUntil > 0, ch.Foreign)})
+	r.emit(Note{What: "backend server gone", Subject: b.ID, Detail: fmt.Sprintf("%s doubt=%t foreign=%t", b.Service, b.graceUntil > 0, ch.Foreign)})
 	r.emit(BackendGone{b.Backend})
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -22,15 +22,15 @@
 
 // Bounds are the limits, set by operators, that all hosts keep together.
 type Bounds struct {
-	RetryRatio  float64
-	RetryWindow time.Duration
-	RetryExtra  float64 // retries allowed beyond the ratio, over all hosts, per window
-	QuotaWindow time.Duration
-	QuotaOver   float64
-	QuotaSlack  float64
-	// A cold backend server gets at most its rate times ColdOver plus ColdSlack requests in any second, over all hosts.
-	ColdOver  float64
-	ColdSlack float64
+	RetryRatio   float64
+	RetryWindow  time.Duration
+	RetryExtra   float64 // retries allowed beyond the ratio, over all hosts, per window
+	QuotaWindow  time.Duration
+	QuotaOverage float64
+	QuotaSlack   float64
+	// A cold backend server gets at most its rate times ColdOverage plus ColdSlack requests in any second, over all hosts.
+	ColdOverage float64
+	ColdSlack   float64
 }
 
 // Options are the settings of a Router that do not change.
@@ -77,7 +77,7 @@
 	// candidates is scratch space for choosing a backend server, kept to avoid allocations.
 	candidates [numClasses][]candidate
 	quotas     map[string]*limit.Quota
-	limits     quotaState
+	quotaState quotaState
 	// sortedQuotas are the names of the workspaces with quotas; nil if the list must be rebuilt. reportedSpent is the amount
 	// last sent for each in a heartbeat, and spentReports counts those heartbeats.
 	sortedQuotas  []string
@@ -115,7 +115,7 @@
 		quotas:        map[string]*limit.Quota{},
 		reportedSpent: map[string]uint64{},
 		owners:        newOwnerState(),
-		limits:        newQuotaState(),
+		quotaState:    newQuotaState(),
 		suspects:      newSuspectState(),
 
 		evacuations: map[string]*evacuation{},
@@ -153,16 +153,16 @@
 		r.handleReport(e.From, e.Report)
 	case OccupancyReceived:
 		r.handleOccupancy(e.From, e.Occupancy)
-	case ChargeRequestReceived:
+	case QuotaRequestReceived:
 		r.handleQuotaRequest(e.From, e.Charge)
-	case ChargeResponseReceived:
+	case QuotaReplyReceived:
 		r.handleQuotaReply(e.From, e.Charged)
 	case RelayReceived:
 		r.applyZoneSummaries(r.opt.Zone, e.Relay.Zones)
 	case Update:
 		r.applyUpdate(e)
 	case StoreStatus:
-		r.storeContact(e.OK)
+		r.handleStoreStatus(e.OK)
 	case BackendAnnouncement:
 		r.handleAnnouncement(e)
 	case ProbeResult:
@@ -197,7 +197,7 @@
 
 func (r *Router) allowance() limit.Allowance {
 	b := r.opt.Bounds
-	return limit.Allowance{Window: b.QuotaWindow, Overage: b.QuotaOver, Slack: b.QuotaSlack}
+	return limit.Allowance{Window: b.QuotaWindow, Overage: b.QuotaOverage, Slack: b.QuotaSlack}
 }
 
 func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -153,7 +153,7 @@
 	h.inc++
 	h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: h.inc*1000 + uint64(len(h.ip)), Seed: uint64(len(w.calls)),
 		Seeds:  []string{w.hosts[0].ip, w.hosts[len(w.hosts)-1].ip},
-		Bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 56, QuotaWindow: 8 * time.Second, QuotaOver: 0.25}})
+		Bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 56, QuotaWindow: 8 * time.Second, QuotaOverage: 0.25}})
 	h.seen, h.listed, h.reading, h.version, h.frozen = 0, false, false, 0, 0
 	h.announcedLeaving = map[string]bool{}
 	for _, c := range w.calls {
@@ -274,9 +274,9 @@
 	case p.Relay != nil:
 		return RelayReceived{from, p.Relay}
 	case p.Charge != nil:
-		return ChargeRequestReceived{from, p.Charge}
+		return QuotaRequestReceived{from, p.Charge}
 	case p.Charged != nil:
-		return ChargeResponseReceived{from, p.Charged}
+		return QuotaReplyReceived{from, p.Charged}
 	default:
 		return HeartbeatReceived{p.Beat}
 	}
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -96,18 +96,18 @@
 
 // hasRole reports whether this host is among the n hosts of its zone with a role, by rendezvous hashing over the reachable
 // ones. While views differ, a role may have one holder more or fewer, which is why each has several.
-func (r *Router) hasRole(purpose string, n int) bool {
-	mine := roleScore(r.opt.Host, purpose)
+func (r *Router) hasRole(role string, n int) bool {
+	mine := roleScore(r.opt.Host, role)
 	before := 0
 	for _, h := range r.zonePeers() {
-		if !r.members.byHost[h].leaving && roleScore(h, purpose) < mine {
+		if !r.members.byHost[h].leaving && roleScore(h, role) < mine {
 			before++
 		}
 	}
 	return before < n
 }
 
-func roleScore(host, purpose string) uint64 { return xxhash.Sum64String(host + "|" + purpose) }
+func roleScore(host, role string) uint64 { return xxhash.Sum64String(host + "|" + role) }
 
 // hostCount counts all hosts that are not forgotten, including this one.
 func (r *Router) hostCount() int {
@@ -117,8 +117,8 @@
 
 // countDirectHosts counts the known and the reachable hosts that this one exchanges heartbeats with, including itself.
 // In a large fleet they are those of its zone.
-func (r *Router) countDirectHosts() (known, heard int) {
-	known, heard = 1, 1
+func (r *Router) countDirectHosts() (known, reachable int) {
+	known, reachable = 1, 1
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
 		if !r.exchangesHeartbeats(m.zone) {
@@ -126,23 +126,23 @@
 		}
 		known++
 		if !m.unreachable {
-			heard++
+			reachable++
 		}
 	}
-	return known, heard
+	return known, reachable
 }
 
 // countHosts counts all known and all reachable hosts, by heartbeats and by zone summaries.
-func (r *Router) countHosts() (known, heard int) {
-	known, heard = r.countDirectHosts()
+func (r *Router) countHosts() (known, reachable int) {
+	known, reachable = r.countDirectHosts()
 	if !r.largeFleet() {
-		return known, heard
+		return known, reachable
 	}
 	own := known
 	for _, z := range r.zones.summaries {
 		known += max(z.known, z.hosts)
 		if !z.stale {
-			heard += z.hosts
+			reachable += z.hosts
 		}
 	}
 	if r.now < zoneDiscoveryDuration {
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	return known, heard
+	return known, reachable
 }
 
 // zoneDiscoveryDuration is how long after its start a host of a large fleet assumes that zones without a summary yet
@@ -200,9 +200,9 @@
 // ownZoneSummary summarizes this zone for the others: the owners of its backend servers, the load there from all zones,
 // and what its hosts have admitted. As each zone reports only its own backend servers, nothing is reported or counted twice.
 func (r *Router) ownZoneSummary() *gossippb.ZoneSum {
-	known, heard := r.countDirectHosts()
+	known, reachable := r.countDirectHosts()
 	s := &gossippb.ZoneSum{Zone: r.opt.Zone, Speaker: r.opt.Host, Incarnation: r.opt.Incarnation, Seq: r.seq + 1,
-		Hosts: uint32(heard), Known: uint32(known), AgeMs: r.uptimeMs(), Owners: r.ownersToSend(), Suspects: r.suspects.ledger.ForZones(r.now), Leaves: r.zoneLeaving(), Failing: r.zoneFailingBackends()}
+		Hosts: uint32(reachable), Known: uint32(known), AgeMs: r.uptimeMs(), Owners: r.ownersToSend(), Suspects: r.suspects.ledger.ForZones(r.now), Leaves: r.zoneLeaving(), Failing: r.zoneFailingBackends()}
 	s.WithoutLoads = r.now < r.zones.loadsAt
 	if !s.WithoutLoads {
 		r.zones.loadsAt = r.now + r.loadsInterval()
@@ -303,14 +303,14 @@
 
 func (r *Router) applyZoneSummary(s *gossippb.ZoneSum, direct bool) {
 	z, ok := r.zones.summaries[s.Zone]
-	same := ok && z.reporter == s.Speaker && z.incarnation == s.Incarnation
+	sameReporter := ok && z.reporter == s.Speaker && z.incarnation == s.Incarnation
 	switch {
-	case same && s.Seq <= z.seq:
+	case sameReporter && s.Seq <= z.seq:
 		if s.Seq == z.seq && !direct {
 			z.unrelayed = nil // relayed by a zone peer already
 		}
 		return
-	case ok && !same && r.now-z.receivedAt < zoneReporterTimeout:
+	case ok && !sameReporter && r.now-z.receivedAt < zoneReporterTimeout:
 		return // only one reporter at a time, or admissions would be counted twice
 	case !ok:
 		z = &zoneSummary{zone: s.Zone}
@@ -342,10 +342,10 @@
 }
 
 // applyZoneLoads sets the loads of another zone's backend servers; those not named have none.
-func (r *Router) applyZoneLoads(zone string, told loads) {
+func (r *Router) applyZoneLoads(zone string, reported loads) {
 	for _, b := range r.backendsIn(zone) {
 		if !b.removed {
-			r.applyOwnerLoad(b, told[b.hash])
+			r.applyOwnerLoad(b, reported[b.hash])
 		}
 	}
 }
@@ -392,12 +392,12 @@
 		if !ok {
 			continue
 		}
-		quiet := r.now - z.receivedAt
-		if quiet > zoneSummaryTTL && !z.stale {
+		age := r.now - z.receivedAt
+		if age > zoneSummaryTTL && !z.stale {
 			z.stale = true
-			r.emit(Note{What: "zone unreachable", Subject: zone, Age: quiet})
+			r.emit(Note{What: "zone unreachable", Subject: zone, Age: age})
 		}
-		if quiet > hostTTL {
+		if age > hostTTL {
 			delete(r.zones.summaries, zone)
 		}
 	}
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -161,7 +161,7 @@
 	{"gateway-abort", "1", "internal/gateway/request.go", "	a.canceler.start(d.Attempt, cancel)\n", "", onPlatform("StartsAgain")},
 	{"router-peers-repair", "6", "internal/router/news.go", "	r.updates.pulledAt = r.now\n	r.emit(Pull{m.host, since})", "	r.updates.pulledAt, since = r.now, Since{}\n	_ = since", onPlatform("Refuses|StoreIsAway")},
 	{"router-drain", "4", "internal/router/backends.go", "	case b.Draining:\n		return draining\n", "", routerTests},
-	{"router-doubt-ends", "4", "internal/router/backends.go", "case b.removed && now >= b.usableUntil:", "case false:", routerTests},
+	{"router-doubt-ends", "4", "internal/router/backends.go", "case b.removed && now >= b.graceUntil:", "case false:", routerTests},
 	{"limit-first-word", "limits", "internal/limit/quota.go", "	if !known && !t.RecentlyStarted {", "	if !known && false {", limitTests},
 	{"router-replaced", "4", "internal/router/backends.go", "	case b.replaced:\n		return replaced\n", "", routerTests},
 	{"router-dead-last", "8", "internal/router/place.go", "	if g.Full > 0 {\n\t\tbyClass[classUnreachable] = byClass[classUnreachable][:0]\n\t}\n", "", routerTests},
