--- a/internal/router/beats_test.go
+++ b/internal/router/beats_test.go
@@ -15,13 +15,13 @@
 // were told every 100 to 150 ms they all chose the same ones, and a quarter of the streams began
 // late. So what a host carries is told with the change itself, and in a burst once a gap.
 func TestChangeIsToldAtOnceAndBurstsAreBounded(t *testing.T) {
-	b := newBench(t, 4)
+	b := newFixture(t, 4)
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	b.post(Tick{})
 	b.now += minChangeGap
 	send := func() int {
 		b.next++
-		return heartbeatCount(b.post(Submit{ID: b.next, Route: urgent, Rank: 0, OutputTok: 10, Deadline: b.now + time.Second}))
+		return heartbeatCount(b.post(Submit{ID: b.next, Route: urgentRoute, Rank: 0, OutputTok: 10, Deadline: b.now + time.Second}))
 	}
 	require.Equal(t, 1, send())
 	b.now += minChangeGap / 2
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -29,7 +29,7 @@
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				id := uint64(i + 1)
-				r.Reduce(time.Second, Submit{ID: id, Route: urgent, PromptTok: 2000, OutputTok: 300, Deadline: 10 * time.Second})
+				r.Reduce(time.Second, Submit{ID: id, Route: urgentRoute, PromptTok: 2000, OutputTok: 300, Deadline: 10 * time.Second})
 				r.Reduce(time.Second, CallerLeft{ID: id})
 			}
 		})
@@ -48,15 +48,15 @@
 				n.Backends = append(n.Backends, changeOf(fmt.Sprintf("f%04d", i), 60, false))
 			}
 			h.Reduce(z.now, n)
-			word := &gossippb.Occupancy{}
+			occupancy := &gossippb.Occupancy{}
 			for _, be := range h.allBackends()[:10] {
-				word.Loads = append(word.Loads, be.totalLoad().toProto(be.hash))
+				occupancy.Loads = append(occupancy.Loads, be.totalLoad().toProto(be.hash))
 			}
 			from := h.zonePeers()[0]
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				h.Reduce(z.now, OccupancyReceived{from, word})
+				h.Reduce(z.now, OccupancyReceived{from, occupancy})
 			}
 		})
 	}
--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -42,8 +42,8 @@
 	return f
 }
 
-// back tells hosts that read the store that the engines of a zone have started again, all at once.
-func (f *coldFleet) back(zone int, readers ...*zoneHost) {
+// enginesReturn tells hosts that read the store that the engines of a zone have started again, all at once.
+func (f *coldFleet) enginesReturn(zone int, readers ...*zoneHost) {
 	n := Update{FromStore: true, After: rev(f.revision)}
 	for i := zone * f.engines; i < (zone+1)*f.engines; i++ {
 		f.revision++
@@ -83,8 +83,8 @@
 	}
 }
 
-// crowded is the most requests that were sent to one of a zone's engines in a second since a moment, and sent all together.
-func (f *coldFleet) crowded(zone int, since, until time.Duration) (most, sent int) {
+// maxSentPerSecond is the most requests that were sent to one of a zone's engines in a second since a moment, and sent all together.
+func (f *coldFleet) maxSentPerSecond(zone int, since, until time.Duration) (most, sent int) {
 	for i := zone * f.engines; i < (zone+1)*f.engines; i++ {
 		var at []time.Duration
 		for _, when := range f.sends[fmt.Sprintf("e%03d", i)] {
@@ -109,13 +109,13 @@
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
 	at := f.now
-	f.back(2, f.zoneHosts(2)[:2]...)
+	f.enginesReturn(2, f.zoneHosts(2)[:2]...)
 	f.run(testColdFor, 280)
-	most, sent := f.crowded(2, at, f.now)
+	most, sent := f.maxSentPerSecond(2, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdRate+maxColdSenders)
 	require.Greater(t, sent, 15, "they are of use while they are cold")
 	f.run(2*time.Second, 280)
-	_, after := f.crowded(2, at+testColdFor, f.now)
+	_, after := f.maxSentPerSecond(2, at+testColdFor, f.now)
 	require.Greater(t, after/2, sent/3, "a second, and no longer held back")
 }
 
@@ -125,12 +125,12 @@
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
 	at := f.now
-	f.back(2, f.hosts...)
+	f.enginesReturn(2, f.hosts...)
 	f.run(time.Second, 280)
 	f.runs = map[uint64]*zoneRun{} // their callers' connections are closed
 	f.restartHosts(f.hosts)
 	f.run(testColdFor, 280)
-	most, _ := f.crowded(2, at, f.now)
+	most, _ := f.maxSentPerSecond(2, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdBound)
 }
 
@@ -142,9 +142,9 @@
 	f.drops = func(from, to string, _ *gossippb.Packet) bool { return true }
 	f.run(5*time.Second, 280)
 	at := f.now
-	f.back(2, f.hosts...)
+	f.enginesReturn(2, f.hosts...)
 	f.run(testColdFor, 280)
-	most, _ := f.crowded(2, at, f.now)
+	most, _ := f.maxSentPerSecond(2, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdBound)
 }
 
@@ -160,7 +160,7 @@
 		f.drops = func(string, string, *gossippb.Packet) bool { return f.rng.Float64() < cut }
 		f.run(time.Second, perSecond)
 		at := f.now
-		f.back(0, f.hosts...)
+		f.enginesReturn(0, f.hosts...)
 		f.run(time.Duration(rapid.IntRange(0, 900).Draw(rt, "restart after ms"))*time.Millisecond, perSecond)
 		again := f.zoneHosts(0)[:rapid.IntRange(0, hosts).Draw(rt, "hosts that restart")]
 		for id, run := range f.runs {
@@ -171,7 +171,7 @@
 		}
 		f.restartHosts(again)
 		f.run(testColdFor, perSecond)
-		most, _ := f.crowded(0, at, at+testColdFor)
+		most, _ := f.maxSentPerSecond(0, at, at+testColdFor)
 		require.LessOrEqual(rt, float64(most), testColdBound)
 	})
 }
@@ -180,9 +180,9 @@
 func TestColdServersAreUsedWhereThereAreNoOthers(t *testing.T) {
 	f := newColdFleet(t, 1, 3, 2)
 	at := f.now
-	f.back(0, f.hosts...)
+	f.enginesReturn(0, f.hosts...)
 	f.run(testColdFor, 300)
-	most, sent := f.crowded(0, at, f.now)
+	most, sent := f.maxSentPerSecond(0, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdBound)
 	require.GreaterOrEqual(t, sent, int(math.Floor(2*testColdRate*testColdFor.Seconds()*0.7)))
 	require.Positive(t, f.refused)
@@ -197,7 +197,7 @@
 		Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: testColdRate}}}, Backends: []routing.BackendChange{cold}}})
 	r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	r.Reduce(time.Second, Tick{})
-	_, refused := has[Refuse](submitted(r, 1, time.Second))
+	_, refused := findEffect[Refuse](submitted(r, 1, time.Second))
 	require.True(t, refused)
 	r.Reduce(minColdSenderAge+time.Second, Tick{})
 	dispatchOf(t, submitted(r, 2, minColdSenderAge+time.Second))
@@ -208,7 +208,7 @@
 	f := newColdFleet(t, 1, 20, 23)
 	asker := f.hosts[0]
 	question, owner := f.requestSlot(asker)
-	f.back(0, f.byIP[owner])
+	f.enginesReturn(0, f.byIP[owner])
 	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
 	require.Nil(t, offers[0].Place)
 }
@@ -220,9 +220,9 @@
 	question, owner := f.requestSlot(asker)
 	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
 	require.NotNil(t, offers[0].Place)
-	f.back(0, asker)
+	f.enginesReturn(0, asker)
 	out := asker.r.Reduce(f.now, SlotOfferReceived{owner, offers[0]})
-	if d, ok := has[Dispatch](out); ok {
+	if d, ok := findEffect[Dispatch](out); ok {
 		require.NotEqual(t, offers[0].Place.Backend, asker.r.backends[d.Backend.ID].hash)
 	}
 	require.True(t, releasesSlot(out, offers[0].Place.Backend))
@@ -230,7 +230,7 @@
 
 // A registration tells how long a backend server is still cold, and a later one that it is warm.
 func TestRegistrationsTellWhoIsCold(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 		Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: testColdRate}}}}})
 	ch := changeOf("a", 60, false)
@@ -252,7 +252,7 @@
 // Operators may allow one request in a second and less than two, or none beyond the rate.
 func TestColdServersWithTightBounds(t *testing.T) {
 	for _, b := range []struct{ rate, over, slack float64 }{{1, 1.5, 0}, {0.5, 1, 1}, {20, 1, 0}, {3, 0, 0}, {0.2, 1, 0}} {
-		r := lone(t, "a")
+		r := newStandalone(t, "a")
 		r.opt.Bounds.ColdOverage, r.opt.Bounds.ColdSlack = b.over, b.slack
 		r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 			Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: b.rate}}}}})
@@ -264,7 +264,7 @@
 		for now := 5 * time.Second; now < 15*time.Second; now += 10 * time.Millisecond {
 			r.Reduce(now, Tick{})
 			id++
-			if _, ok := has[Dispatch](submitted(r, id, now)); ok {
+			if _, ok := findEffect[Dispatch](submitted(r, id, now)); ok {
 				sent = append(sent, now)
 				r.Reduce(now, CallerLeft{ID: id})
 			}
@@ -281,7 +281,7 @@
 
 // Plain servers may say for how long they are slow after a start, and bear as much as ever.
 func TestServersWithoutABoundAreNotCold(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	ch := changeOf("a", 60, false)
 	ch.Cold = time.Minute
 	register(r, time.Second, ch)
--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -42,7 +42,7 @@
 // The store comes back thirty revisions older. What it says from then on must be taken, though the numbers are lower than
 // those that were known; a peer that has not heard of it must not bring the lost ones back.
 func TestLaterEraGoesFirst(t *testing.T) {
-	r := lone(t, "a", "b") // at 10, as of 50
+	r := newStandalone(t, "a", "b") // at 10, as of 50
 	r.Reduce(12*time.Second, listing(inEra(2, 20), servers(inEra(2, 10), "a", "b")))
 	c := servers(inEra(2, 21), "new")
 	gone := changeOf("b", 0, true)
@@ -60,7 +60,7 @@
 // A host has heard that a server leaves; the copy is older and says that it is ready, as does what comes later of the same
 // start. A server that the host knew to have left is listed in the copy too.
 func TestOlderCopyIsNoEvidence(t *testing.T) {
-	r := lone(t, "leaves", "left", "stays")
+	r := newStandalone(t, "leaves", "left", "stays")
 	drain := changeOf("leaves", 60, false)
 	drain.Draining = true
 	register(r, 12*time.Second, drain)
@@ -77,7 +77,7 @@
 // A server has joined in the seconds that the store has lost. It is used on, as it lives and writes again; one that does not
 // within the time that the operators state is gone.
 func TestLostServersHaveTimeToWriteAgain(t *testing.T) {
-	r := lone(t, "old")
+	r := newStandalone(t, "old")
 	register(r, time.Second, changeOf("lives", 51, false))
 	register(r, time.Second, changeOf("ended", 52, false))
 	at := 12 * time.Second
@@ -107,14 +107,14 @@
 // A host that the store refuses hears of the era by its peers' beats and asks them, also where the copy lists nobody. What it
 // is told lacks the servers that the copy lacks, and they have their time there too.
 func TestPeersHearOfAnEra(t *testing.T) {
-	reader, refused := lone(t, "a"), lone(t, "a")
+	reader, refused := newStandalone(t, "a"), newStandalone(t, "a")
 	reader.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{}))
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: reader.updates.revision.Number,
 			Era: reader.updates.revision.Era, Digest: 7}
 	}
 	refused.Reduce(2*time.Second, HeartbeatReceived{beat(1)})
-	pull, ok := has[Pull](refused.Reduce(2*time.Second+pullDelay, HeartbeatReceived{beat(2)}))
+	pull, ok := findEffect[Pull](refused.Reduce(2*time.Second+pullDelay, HeartbeatReceived{beat(2)}))
 	require.True(t, ok)
 	require.Equal(t, rev(50), pull.Revision)
 	update := reader.Snapshot(pull.Since)
@@ -134,7 +134,7 @@
 // A configuration of before the copy stays in force until a later one comes: its keys, routes and quotas were taken away
 // on purpose.
 func TestConfigurationOutlivesAnOlderCopy(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	r.Reduce(time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Config: &routing.Config{Version: 9}}})
 	r.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{Config: &routing.Config{Version: 1}}))
 	require.EqualValues(t, 9, r.version())
--- a/internal/router/evacuations_test.go
+++ b/internal/router/evacuations_test.go
@@ -23,18 +23,18 @@
 
 // Operators evacuate a zone while a request runs there. Its second try must not go there, nor one that is silent move there.
 func TestEvacuatedZoneGetsNoSecondTry(t *testing.T) {
-	r := lone(t, "a", "b", "c")
+	r := newStandalone(t, "a", "b", "c")
 	for i, id := range []string{"a", "b", "c"} {
 		ch := changeOf(id, uint64(60+i), false)
 		ch.Zone = map[string]string{"a": "z0", "b": "z0", "c": "z1"}[id]
 		register(r, time.Second, ch)
 	}
-	d := dispatchOf(t, r.Reduce(2*time.Second, Submit{ID: 1, Route: urgent, Deadline: time.Minute}))
+	d := dispatchOf(t, r.Reduce(2*time.Second, Submit{ID: 1, Route: urgentRoute, Deadline: time.Minute}))
 	require.Equal(t, "z0", d.Backend.Zone)
 	r.Reduce(3*time.Second, evacuationStarted("z0", rev(70)))
 	second := dispatchOf(t, r.Reduce(4*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
 	require.Equal(t, "c", second.Backend.ID)
-	_, refused := has[GiveUp](r.Reduce(5*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
+	_, refused := findEffect[GiveUp](r.Reduce(5*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
 	require.True(t, refused, "it has run, and nobody is left")
 	require.Equal(t, "c", dispatchOf(t, submitted(r, 2, 6*time.Second)).Backend.ID)
 	require.Equal(t, "evacuated", r.View().Backends[0].State)
@@ -46,7 +46,7 @@
 		r.Reduce(6*time.Second, CallerLeft{ID: id})
 	}
 	r.Reduce(7*time.Second, evacuationStarted("z1", rev(72)))
-	back, refused := has[Refuse](submitted(r, 3, 8*time.Second))
+	back, refused := findEffect[Refuse](submitted(r, 3, 8*time.Second))
 	require.True(t, refused)
 	require.Positive(t, back.RetryAfter)
 	r.Reduce(9*time.Second, evacuationEnded("z0", rev(73)))
@@ -62,7 +62,7 @@
 	require.NotNil(t, offers[0].Place)
 	asker.r.Reduce(z.now, evacuationStarted("z0", rev(70)))
 	out := asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
-	_, sent := has[Dispatch](out)
+	_, sent := findEffect[Dispatch](out)
 	require.False(t, sent)
 	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
@@ -104,13 +104,13 @@
 
 // Words come in any order; a listing that is complete ends what it lacks, and a host that was away learns so from a peer.
 func TestEvacuationsFollowTheStoresOrder(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	r.Reduce(time.Second, evacuationEnded("z0", rev(71)))
 	r.Reduce(time.Second, evacuationStarted("z0", rev(70)))
 	require.False(t, r.evacuated("z0"))
 	r.Reduce(time.Second, evacuationStarted("z0", rev(72)))
 	require.True(t, r.evacuated("z0"))
-	peer := lone(t, "a")
+	peer := newStandalone(t, "a")
 	n := r.Snapshot(Since{})
 	require.Equal(t, 1, len(n.Evacuations))
 	peer.Reduce(time.Second, n)
@@ -123,7 +123,7 @@
 	peer.Reduce(3*time.Second, r.Snapshot(Since{}))
 	require.False(t, peer.evacuated("z0"))
 	require.Equal(t, r.digest(), peer.digest())
-	require.Equal(t, r.digest(), lone(t, "a").digest(), "a host that starts later need not ask")
+	require.Equal(t, r.digest(), newStandalone(t, "a").digest(), "a host that starts later need not ask")
 }
 
 // The store comes back from a copy that is older than the request. Operators write it again; until then a host that knew of it
@@ -133,7 +133,7 @@
 		r.Reduce(at, Update{FromStore: true, Full: true, AsOf: routing.Revision{Era: 1, Number: 40}, Changes: routing.Changes{
 			Backends: []routing.BackendChange{changeOf("a", 10, false)}}})
 	}
-	r, forgotten := lone(t, "a"), lone(t, "a")
+	r, forgotten := newStandalone(t, "a"), newStandalone(t, "a")
 	for _, h := range []*Router{r, forgotten} {
 		h.Reduce(time.Second, evacuationStarted("z0", rev(70)))
 		copyOf(h, 2*time.Second)
@@ -155,20 +155,20 @@
 	}
 	at := f.now
 	f.run(2*time.Second, 280)
-	_, sent := f.crowded(2, at+100*time.Millisecond, f.now)
+	_, sent := f.maxSentPerSecond(2, at+100*time.Millisecond, f.now)
 	require.Zero(t, sent)
 	at = f.now
 	for _, h := range f.hosts {
 		f.post(h, evacuationEnded("z2", rev(91)))
 	}
 	f.run(testColdFor, 1000)
-	most, _ := f.crowded(2, at, f.now)
+	most, _ := f.maxSentPerSecond(2, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdBound)
 }
 
 // What another host says of zones is bounded, whoever says it.
 func TestEvacuationsOfOthersAreBounded(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	for i := range 3 * maxEvacuations {
 		r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: uint64(i + 1),
 			Evacuations: []*gossippb.Evacuation{{Zone: formatBase36(uint64(i)), Revision: uint64(i)}}}})
--- a/internal/router/exhaustive_test.go
+++ b/internal/router/exhaustive_test.go
@@ -10,25 +10,25 @@
 	"fireflyshift/internal/routing"
 )
 
-// life is one request's way through the reducer, as its caller and the backend servers see it.
-type life struct {
-	b        *bench
+// lifecycle is one request's way through the reducer, as its caller and the backend servers see it.
+type lifecycle struct {
+	b        *fixture
 	route    *routing.Route
 	mayRun   int // dispatches that may have run
 	runs     int // dispatches that were not proved not to have run, ever
 	answered bool
-	flying   bool
+	inFlight bool
 	sends    int
 }
 
-// take checks the effects of one event.
-func (l *life) take(path string, list []Effect) {
+// check checks the effects of one event.
+func (l *lifecycle) check(path string, list []Effect) {
 	for _, e := range list {
 		switch e.(type) {
 		case Dispatch:
-			require.False(l.b.t, l.answered || l.flying, "%s: dispatched though answered or under way", path)
+			require.False(l.b.t, l.answered || l.inFlight, "%s: dispatched though answered or under way", path)
 			require.False(l.b.t, l.mayRun > 0 && !l.route.Repeatable(), "%s: runs again", path)
-			l.flying = true
+			l.inFlight = true
 			l.sends++
 			l.runs++
 			l.mayRun++
@@ -45,8 +45,8 @@
 	require.LessOrEqual(l.b.t, l.sends, maxSends, path)
 }
 
-// ends are all ways in which a dispatch can end.
-func ends() []DispatchEnded {
+// allDispatchEnds are all ways in which a dispatch can end.
+func allDispatchEnds() []DispatchEnded {
 	var out []DispatchEnded
 	for o := Answered; o <= Canceled; o++ {
 		out = append(out, DispatchEnded{Outcome: o}, DispatchEnded{Outcome: o, Fault: true})
@@ -60,17 +60,17 @@
 // step is one thing that happens to a request.
 type step struct {
 	name string
-	do   func(l *life) []Effect
+	do   func(l *lifecycle) []Effect
 }
 
 func steps() []step {
 	var out []step
-	for _, end := range ends() {
-		out = append(out, step{fmt.Sprintf("%d,%t,%t", end.Outcome, end.Delivered, end.Fault), func(l *life) []Effect {
-			if !l.flying {
+	for _, end := range allDispatchEnds() {
+		out = append(out, step{fmt.Sprintf("%d,%t,%t", end.Outcome, end.Delivered, end.Fault), func(l *lifecycle) []Effect {
+			if !l.inFlight {
 				return nil
 			}
-			l.flying = false
+			l.inFlight = false
 			switch end.Outcome {
 			case NotSent, Rejected, WrongInstance:
 				l.mayRun--
@@ -83,9 +83,9 @@
 		}})
 	}
 	out = append(out,
-		step{"stalled", func(l *life) []Effect { return l.b.post(Stalled{ID: 1}) }},
-		step{"late", func(l *life) []Effect { l.b.now += 4 * time.Second; return l.b.post(Tick{}) }},
-		step{"gone", func(l *life) []Effect { l.answered = true; l.flying = false; return l.b.post(CallerLeft{ID: 1}) }})
+		step{"stalled", func(l *lifecycle) []Effect { return l.b.post(Stalled{ID: 1}) }},
+		step{"late", func(l *lifecycle) []Effect { l.b.now += 4 * time.Second; return l.b.post(Tick{}) }},
+		step{"gone", func(l *lifecycle) []Effect { l.answered = true; l.inFlight = false; return l.b.post(CallerLeft{ID: 1}) }})
 	return out
 }
 
@@ -101,25 +101,25 @@
 		{Name: "stream", Kind: routing.Streaming, MaxAttempts: 2, Resumable: true},
 		{Name: "fragile", Kind: routing.Streaming, MaxAttempts: 2},
 	}
-	tried := 0
+	sequences := 0
 	for _, route := range routes {
 		route.Shares = []routing.Share{{Service: "m", Weight: 1}}
 		var walk func(path []int)
 		walk = func(path []int) {
-			l := &life{b: newBench(t, 3), route: route}
+			l := &lifecycle{b: newFixture(t, 3), route: route}
 			name := route.Name
-			l.take(name, l.b.post(Submit{ID: 1, Route: route, Deadline: l.b.now + 10*time.Second}))
+			l.check(name, l.b.post(Submit{ID: 1, Route: route, Deadline: l.b.now + 10*time.Second}))
 			for _, i := range path {
 				name += " " + all[i].name
-				l.take(name, all[i].do(l))
+				l.check(name, all[i].do(l))
 			}
-			tried++
+			sequences++
 			if l.answered {
-				require.False(t, l.flying, "%s: answered while under way", name)
+				require.False(t, l.inFlight, "%s: answered while under way", name)
 				require.Zero(t, l.b.r.Requests(), "%s: kept after its answer", name)
 				return
 			}
-			require.True(t, l.flying, "%s: neither answered nor under way", name)
+			require.True(t, l.inFlight, "%s: neither answered nor under way", name)
 			if len(path) == depth {
 				return
 			}
@@ -129,7 +129,7 @@
 		}
 		walk(nil)
 	}
-	t.Logf("%d lives", tried)
+	t.Logf("%d lives", sequences)
 }
 
 // permute calls f with every order of n things.
@@ -163,7 +163,7 @@
 	backend := func(rev uint64, removed bool) routing.Changes {
 		return routing.Changes{Backends: []routing.BackendChange{changeOf("x", rev, removed)}}
 	}
-	news := []Update{
+	updates := []Update{
 		{FromStore: true, After: rev(50), AsOf: rev(62), Revision: rev(61), Changes: backend(61, false)},
 		{After: rev(50), AsOf: rev(60), Changes: config(3)},
 		{FromStore: true, After: rev(62), AsOf: rev(70), Changes: config(5)},
@@ -171,11 +171,11 @@
 		{Changes: config(4)},
 		{After: rev(10), AsOf: rev(40), Revision: rev(61), Changes: backend(61, false)},
 	}
-	permute(len(news), func(order []int) {
-		b := newBench(t, 1)
+	permute(len(updates), func(order []int) {
+		b := newFixture(t, 1)
 		version, complete := b.r.version(), b.r.updates.completeTo
 		for _, i := range append(append([]int(nil), order...), order...) {
-			b.post(news[i])
+			b.post(updates[i])
 			require.GreaterOrEqual(t, b.r.version(), version, "%v", order)
 			require.False(t, complete.After(b.r.updates.completeTo), "%v", order)
 			version, complete = b.r.version(), b.r.updates.completeTo
--- a/internal/router/failing_test.go
+++ b/internal/router/failing_test.go
@@ -10,9 +10,9 @@
 	"fireflyshift/internal/gossip/gossippb"
 )
 
-// breaking is a fleet under load of which one engine breaks a share of the requests that begin there. Those that began before go
+// newFailingFleet is a fleet under load of which one engine breaks a share of the requests that begin there. Those that began before go
 // on and end well.
-func breaking(t *testing.T, share float64, engines ...string) *zone {
+func newFailingFleet(t *testing.T, share float64, engines ...string) *zone {
 	z := newZones(t, 4, 17, 15)
 	z.breaks, z.broken = map[string]float64{}, map[string]int{}
 	z.run(2*time.Second, 300)
@@ -25,7 +25,7 @@
 // One engine of sixty breaks each new request for five seconds, and long streams still end well there. It looks idle and each host
 // would learn by itself: 521 requests were lost at one. All hosts of all zones hear of it from those that have lost some.
 func TestOneFailingServerTakesFewRequests(t *testing.T) {
-	z := breaking(t, 1, "e022")
+	z := newFailingFleet(t, 1, "e022")
 	z.run(5*time.Second, 300)
 	require.LessOrEqual(t, z.broken["e022"], 15)
 }
@@ -33,7 +33,7 @@
 // The same while callers ask for more than the fleet serves. All other engines are full, and the one that breaks its requests had
 // room for everybody: four engines lost 1,400 requests in five seconds.
 func TestFailingServerIsNoRefugeFromAnOverload(t *testing.T) {
-	z := breaking(t, 1, "e022")
+	z := newFailingFleet(t, 1, "e022")
 	z.run(5*time.Second, 1000)
 	require.Positive(t, z.refused)
 	require.LessOrEqual(t, z.broken["e022"], 15)
@@ -42,7 +42,7 @@
 // Owners do not answer questions, so that all hosts decide alone. They hear from them which engine fails all the same, in its zone
 // and in the others.
 func TestFailingServerIsToldBeyondAnswers(t *testing.T) {
-	z := breaking(t, 1, "e022")
+	z := newFailingFleet(t, 1, "e022")
 	z.drops = func(_, _ string, p *gossippb.Packet) bool { return p.Ask != nil }
 	z.run(5*time.Second, 300)
 	require.LessOrEqual(t, z.broken["e022"], 15)
@@ -67,7 +67,7 @@
 
 // An engine that breaks nearly every other request serves some of its trials; one of them is no reason to trust it.
 func TestHalfFailingServerTakesFewRequests(t *testing.T) {
-	z := breaking(t, 0.45, "e022")
+	z := newFailingFleet(t, 0.45, "e022")
 	z.run(5*time.Second, 300)
 	require.LessOrEqual(t, z.broken["e022"], 15)
 	z.breaks["e022"] = 0
@@ -78,8 +78,8 @@
 
 // Two of a hundred answers are lost at all engines of a zone. Hardly any is shut out for it.
 func TestServersThatLoseFewAnswersAreNotShutOut(t *testing.T) {
-	z := breaking(t, 0.02, "e015", "e016", "e017", "e018", "e019", "e020", "e021", "e022", "e023", "e024", "e025", "e026", "e027", "e028", "e029")
-	shut, seen := 0, 0
+	z := newFailingFleet(t, 0.02, "e015", "e016", "e017", "e018", "e019", "e020", "e021", "e022", "e023", "e024", "e025", "e026", "e027", "e028", "e029")
+	avoided, seen := 0, 0
 	for range 50 {
 		z.run(100*time.Millisecond, 300)
 		for _, b := range z.hosts[0].r.allBackends() {
@@ -87,11 +87,11 @@
 				seen++
 			}
 			if b.Zone == "z1" && b.suspect(z.hosts[0].r.now) {
-				shut++
+				avoided++
 			}
 		}
 	}
-	require.Less(t, float64(shut), 0.1*float64(seen))
+	require.Less(t, float64(avoided), 0.1*float64(seen))
 }
 
 // A stream that began before an engine failed ends well there.
@@ -110,16 +110,16 @@
 
 // In a small fleet each host tells what fails its requests. One host alone may have a fault of its own.
 func TestTwoHostsWordsMakeASuspect(t *testing.T) {
-	r := lone(t, "a", "b")
-	says := func(host string, seq uint64, failing ...uint32) {
+	r := newStandalone(t, "a", "b")
+	report := func(host string, seq uint64, failing ...uint32) {
 		r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: seq, Failing: failing}})
 	}
 	a := r.backends["a"]
-	says("10.0.0.8", 1, a.hash)
+	report("10.0.0.8", 1, a.hash)
 	require.False(t, a.suspect(r.now))
-	says("10.0.0.9", 1, a.hash)
+	report("10.0.0.9", 1, a.hash)
 	require.True(t, a.suspect(r.now))
-	says("10.0.0.9", 2)
+	report("10.0.0.9", 2)
 	require.False(t, a.suspect(r.now))
 }
 
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -35,15 +35,15 @@
 		if proto.Unmarshal(data, &beat) != nil {
 			return
 		}
-		b := newBench(t, 2)
+		b := newFixture(t, 2)
 		b.post(HeartbeatReceived{&beat})
 		b.now += time.Second
 		b.post(Tick{})
 		b.post(HeartbeatReceived{&beat})
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 		b.prompt(1 << 30)
 		for _, e := range b.r.allBackends() {
-			s := b.r.newSelector(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, scopeAll)
+			s := b.r.newSelector(&request{Submit: Submit{Route: urgentRoute, PromptTok: 1 << 30}, service: "m"}, scopeAll)
 			require.Positive(t, s.predictedWait(e, e.inFlight()), "an overflow would make it look idle")
 		}
 		b.now += time.Minute
@@ -76,7 +76,7 @@
 		if proto.Unmarshal(data, &p) != nil || p.Beat != nil {
 			return
 		}
-		b := newBench(t, 3)
+		b := newFixture(t, 3)
 		for i := range maxFullMesh + 1 {
 			b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
@@ -87,12 +87,12 @@
 		}
 		b.post(ev)
 		b.post(ev)
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 		b.prompt(1 << 30)
 		for _, e := range b.r.allBackends() {
 			require.GreaterOrEqual(t, e.inFlight(), 0)
 			require.GreaterOrEqual(t, e.prefillBacklog(b.now), 0)
-			s := b.r.newSelector(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, scopeAll)
+			s := b.r.newSelector(&request{Submit: Submit{Route: urgentRoute, PromptTok: 1 << 30}, service: "m"}, scopeAll)
 			require.Positive(t, s.predictedWait(e, e.inFlight()), "an overflow would make it look idle")
 		}
 		b.now += time.Minute
@@ -110,12 +110,12 @@
 			return
 		}
 		n.Full, n.FromStore = false, false
-		b := newBench(t, 2)
+		b := newFixture(t, 2)
 		before := b.r.version()
 		b.post(n)
 		require.GreaterOrEqual(t, b.r.version(), before)
 		b.post(n)
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 		b.now += time.Minute
 		b.post(Tick{})
 	})
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -21,8 +21,8 @@
 // backend servers each answer was a quarter of a megabyte, small hosts' links were full for seconds,
 // and requests went by the old configuration long after it should have been in force everywhere.
 func TestPullAsksOnlyForWhatIsMissing(t *testing.T) {
-	b := newBench(t, 1000) // complete as of revision 50
-	peer := newBench(t, 1000)
+	b := newFixture(t, 1000) // complete as of revision 50
+	peer := newFixture(t, 1000)
 	peer.post(Update{FromStore: true, After: rev(50), AsOf: rev(90), Revision: rev(80), Changes: routing.Changes{
 		Config: &routing.Config{Version: 9}, Backends: []routing.BackendChange{changeOf("new", 70, false), changeOf("e3", 80, true)}}})
 	beat := func(seq uint64) *gossippb.Beat {
@@ -45,7 +45,7 @@
 // A host hears a pushed change but misses the one before it. It must not take itself for complete up to
 // the later one, or it would never ask for what it missed.
 func TestMissedChangeIsAskedFor(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.post(Update{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
 	require.Equal(t, rev(50), b.r.updates.completeTo)
 }
@@ -53,7 +53,7 @@
 // A backend server was removed while this host did not run. A peer that has not heard of it still names
 // it: the host must not send callers to an address that nobody has, or that another service has.
 func TestOldRegistrationFromAPeerIsNotTaken(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.post(Update{Revision: rev(40), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("ghost", 40, false)}}})
 	require.Nil(t, b.r.backends["ghost"])
 }
@@ -63,8 +63,8 @@
 // with what hosts of other zones carry there: left out, these looked idle to the others, which all sent
 // there. The hearer takes its own requests off, or it would count them twice.
 func TestEachZoneTellsOfItsOwnServers(t *testing.T) {
-	withServers := func() *bench {
-		b := newBench(t, 0)
+	withServers := func() *fixture {
+		b := newFixture(t, 0)
 		var list []routing.BackendChange
 		for i, zone := range []string{"z0", "z1", "z2"} {
 			ch := changeOf(fmt.Sprintf("s%d", i), uint64(60+i), false)
@@ -103,7 +103,7 @@
 // open long watches; their zone mates, who rely on them, took them for cut off every few seconds, and
 // all read the store at once.
 func TestReaderWatchesShorterOnceOthersRelyOnIt(t *testing.T) {
-	b := newBench(t, 0)
+	b := newFixture(t, 0)
 	reads := func() []ReadStore { return effectsOf[ReadStore](b.post(Tick{})) }
 	require.Equal(t, []ReadStore{{On: true}}, reads())
 	for i := 0; i <= maxFullMesh; i++ {
@@ -118,7 +118,7 @@
 // for up to date by its revision and asked for the rest three seconds later: callers were sent to engines
 // that had said so long that they leave.
 func TestManyChangesAtOnceReachTheZone(t *testing.T) {
-	reader := newBench(t, 0)
+	reader := newFixture(t, 0)
 	for i := 0; i <= maxFullMesh; i++ {
 		reader.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
@@ -129,7 +129,7 @@
 		ch.Draining = true
 		list = append(list, ch)
 	}
-	peer := newBench(t, 17)
+	peer := newFixture(t, 17)
 	pushed := 0
 	for _, e := range reader.post(Update{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
 		if s, ok := e.(SendHeartbeat); ok && len(s.Heartbeat.Changes) > 0 {
@@ -146,7 +146,7 @@
 // The same where datagrams are lost: a host hears a later change and not those before it, and a peer that
 // knows them. It asks within a quarter of a second, for all that it may have missed.
 func TestGapBeforeAHeardChangeIsAskedFor(t *testing.T) {
-	b := newBench(t, 1) // complete as of revision 50
+	b := newFixture(t, 1) // complete as of revision 50
 	late, err := json.Marshal([]routing.BackendChange{changeOf("later", 90, false)})
 	require.NoError(t, err)
 	b.r.applyPushedChanges(late)
@@ -165,7 +165,7 @@
 
 // Guards against changes of backend servers that are lost as a later beat overtakes the one that brings them.
 func TestChangesInAnOvertakenBeatAreTaken(t *testing.T) {
-	b := newBench(t, 0)
+	b := newFixture(t, 0)
 	data, err := json.Marshal([]routing.BackendChange{changeOf("late", 60, false)})
 	require.NoError(t, err)
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 2}})
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -11,8 +11,8 @@
 	"fireflyshift/internal/routing"
 )
 
-// bench is one reducer with a store that has told it everything.
-type bench struct {
+// fixture is one reducer with a store that has told it everything.
+type fixture struct {
 	t    *testing.T
 	r    *Router
 	now  time.Duration
@@ -20,12 +20,12 @@
 }
 
 var (
-	urgent = &routing.Route{Name: "urgent", Kind: routing.Streaming, MaxAttempts: 3, Resumable: true, Target: time.Second, Shares: []routing.Share{{Service: "m", Weight: 1}}}
-	hint   = &routing.Route{Name: "hint", Kind: routing.Streaming, MaxAttempts: 1, Priority: 2, Target: time.Second, Shares: []routing.Share{{Service: "m", Weight: 1}}}
+	urgentRoute      = &routing.Route{Name: "urgent", Kind: routing.Streaming, MaxAttempts: 3, Resumable: true, Target: time.Second, Shares: []routing.Share{{Service: "m", Weight: 1}}}
+	lowPriorityRoute = &routing.Route{Name: "hint", Kind: routing.Streaming, MaxAttempts: 1, Priority: 2, Target: time.Second, Shares: []routing.Share{{Service: "m", Weight: 1}}}
 )
 
-func newBench(t *testing.T, engines int) *bench {
-	b := &bench{t: t, now: time.Second}
+func newFixture(t *testing.T, engines int) *fixture {
+	b := &fixture{t: t, now: time.Second}
 	b.r = New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1,
 		Bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000}})
 	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
@@ -48,14 +48,14 @@
 	return out
 }
 
-func (b *bench) post(ev Event) []Effect {
+func (b *fixture) post(ev Event) []Effect {
 	out := b.r.Reduce(b.now, ev)
 	require.Empty(b.t, b.r.Violations())
 	return out
 }
 
 // submit returns the engine that a request goes to, or the refusal.
-func (b *bench) submit(route *routing.Route, rank float64, output int) (string, *Refuse) {
+func (b *fixture) submit(route *routing.Route, rank float64, output int) (string, *Refuse) {
 	b.next++
 	for _, e := range b.post(Submit{ID: b.next, Route: route, Rank: rank, OutputTok: output, Deadline: b.now + 10*time.Second}) {
 		switch e := e.(type) {
@@ -69,77 +69,77 @@
 	return "", nil
 }
 
-// learn lets an engine answer with a pace.
-func (b *bench) learn(engine string, pace time.Duration) {
+// observeInterval lets an engine answer with a pace.
+func (b *fixture) observeInterval(engine string, pace time.Duration) {
 	b.r.backends[engine].learnEventInterval(pace)
 }
 
 // A burst of hints fills every engine. A review that comes then must still find a place at each of
 // them: engines admit in order of arrival, so that what may queue there is all that ranks.
 func TestUrgentWorkFindsRoomInABurst(t *testing.T) {
-	b := newBench(t, 2)
-	hints := 0
+	b := newFixture(t, 2)
+	lowPriority := 0
 	for {
-		if _, refused := b.submit(hint, routing.LeastUrgent, 100); refused != nil {
+		if _, refused := b.submit(lowPriorityRoute, routing.LeastUrgent, 100); refused != nil {
 			require.Equal(t, Overloaded, refused.Cause)
 			require.Positive(t, refused.RetryAfter, "told when to come back")
 			break
 		}
-		hints++
+		lowPriority++
 	}
-	require.Equal(t, 2*(5+headroom-2*headroomPerRank), hints)
-	reviews := 0
+	require.Equal(t, 2*(5+headroom-2*headroomPerRank), lowPriority)
+	urgent := 0
 	for {
-		if _, refused := b.submit(urgent, 0, 100); refused != nil {
+		if _, refused := b.submit(urgentRoute, 0, 100); refused != nil {
 			break
 		}
-		reviews++
+		urgent++
 	}
-	require.Equal(t, 2*2*headroomPerRank, reviews)
+	require.Equal(t, 2*2*headroomPerRank, urgent)
 }
 
 // Engines of a service differ fourfold in speed. Work goes where it shares the engine for the
 // shortest time, so that a fast engine gets four requests before a slow one gets its first.
 func TestFastEnginesAreFilledFirst(t *testing.T) {
-	b := newBench(t, 2)
-	b.learn("e0", 11*time.Millisecond)
-	b.learn("e1", 47*time.Millisecond)
+	b := newFixture(t, 2)
+	b.observeInterval("e0", 11*time.Millisecond)
+	b.observeInterval("e1", 47*time.Millisecond)
 	for i := 0; i < 4; i++ {
-		engine, _ := b.submit(urgent, 0, 100)
+		engine, _ := b.submit(urgentRoute, 0, 100)
 		require.Equal(t, "e0", engine)
 	}
-	engine, _ := b.submit(urgent, 0, 100)
+	engine, _ := b.submit(urgentRoute, 0, 100)
 	require.Equal(t, "e1", engine)
 }
 
 // A summary of 1,800 tokens takes 28 s at an engine that takes 47 ms for three of them: its caller
 // leaves after 10 s, and the engine has worked for nothing. It goes to a fast one, however busy.
 func TestLongStreamsAvoidSlowEngines(t *testing.T) {
-	b := newBench(t, 2)
-	b.learn("e0", 11*time.Millisecond)
-	b.learn("e1", 47*time.Millisecond)
+	b := newFixture(t, 2)
+	b.observeInterval("e0", 11*time.Millisecond)
+	b.observeInterval("e1", 47*time.Millisecond)
 	for i := 0; i < 5+headroom; i++ {
-		engine, _ := b.submit(urgent, 0, 1800)
+		engine, _ := b.submit(urgentRoute, 0, 1800)
 		require.Equal(t, "e0", engine)
 	}
-	engine, _ := b.submit(urgent, 0, 1800)
+	engine, _ := b.submit(urgentRoute, 0, 1800)
 	require.Equal(t, "e1", engine, "rather there than refused")
 }
 
 // An engine crashes. It looks idle until its registration lapses, and every host would try it for
 // each request. Two hosts that say so are believed; one may be cut off itself.
 func TestDeadEnginesOfOthersAreAvoided(t *testing.T) {
-	b := newBench(t, 2)
-	dead := b.r.backends["e0"].hash
-	say := func(host string) {
-		b.post(HeartbeatReceived{&gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: 1, Dead: []uint32{dead}}})
+	b := newFixture(t, 2)
+	crashed := b.r.backends["e0"].hash
+	report := func(host string) {
+		b.post(HeartbeatReceived{&gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: 1, Dead: []uint32{crashed}}})
 	}
-	say("10.0.0.2")
-	engine, _ := b.submit(urgent, 0, 10)
+	report("10.0.0.2")
+	engine, _ := b.submit(urgentRoute, 0, 10)
 	require.Equal(t, "e0", engine, "one host's word")
-	say("10.0.0.3")
+	report("10.0.0.3")
 	for i := 0; i < 4; i++ {
-		engine, _ = b.submit(urgent, 0, 10)
+		engine, _ = b.submit(urgentRoute, 0, 10)
 		require.Equal(t, "e1", engine)
 	}
 }
@@ -147,26 +147,26 @@
 // No host of another zone is heard any more though some were: the zone is cut off, and a request to
 // its engines would wait for a connection in vain while its caller's objective passes.
 func TestEnginesOfASilentZoneAreAvoided(t *testing.T) {
-	b := newBench(t, 2)
+	b := newFixture(t, 2)
 	b.r.backends["e0"].Zone = "z1"
 	b.r.backends["e1"].ownLoad.counts[0] = 3
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: 1}})
-	engine, _ := b.submit(urgent, 0, 10)
+	engine, _ := b.submit(urgentRoute, 0, 10)
 	require.Equal(t, "e0", engine)
 	b.now += zoneTimeout
-	engine, _ = b.submit(urgent, 0, 10)
+	engine, _ = b.submit(urgentRoute, 0, 10)
 	require.Equal(t, "e1", engine)
 }
 
 // A request that may be repeated breaks at one engine after another. It runs at no more engines than
 // its route allows, whatever the budget holds.
 func TestAttemptsAreBounded(t *testing.T) {
-	b := newBench(t, 8)
+	b := newFixture(t, 8)
 	for i := 0; i < 60; i++ { // earns budget
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 		b.post(DispatchEnded{ID: b.next, Outcome: Answered})
 	}
-	b.submit(urgent, 0, 10)
+	b.submit(urgentRoute, 0, 10)
 	id := b.next
 	runs := 1
 	for {
@@ -181,22 +181,22 @@
 			break
 		}
 	}
-	require.Equal(t, urgent.MaxAttempts, runs)
+	require.Equal(t, urgentRoute.MaxAttempts, runs)
 }
 
 // A stalled request moves only if another engine has room: closing its place in a queue for nothing
 // would make it later.
 func TestStalledRequestStaysWithoutRoom(t *testing.T) {
-	b := newBench(t, 2)
+	b := newFixture(t, 2)
 	for i := 0; i < 20; i++ {
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 		b.post(DispatchEnded{ID: b.next, Outcome: Answered})
 	}
-	b.submit(urgent, 0, 10)
+	b.submit(urgentRoute, 0, 10)
 	id := b.next
 	verdict := func() bool { return b.post(Stalled{ID: id})[0].(StallDecision).Reassign }
 	for i := 0; i < 20; i++ {
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 	}
 	require.False(t, verdict())
 	for i := uint64(1); i <= 20; i++ {
@@ -210,21 +210,21 @@
 func TestOthersReadWhenTheReadersLoseTheStore(t *testing.T) {
 	r := New(Options{Host: "10.0.0.99", Zone: "z0", Incarnation: 1, Seed: 1})
 	now := time.Second
-	beat := func(seq uint64, contact bool) {
+	heartbeats := func(seq uint64, contact bool) {
 		for i := 1; i <= 20; i++ {
 			r.Reduce(now, HeartbeatReceived{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: seq, ReadsStore: contact}})
 		}
 	}
 	reads := func() bool { return r.updates.reading }
-	beat(1, true)
+	heartbeats(1, true)
 	r.Reduce(now, Tick{})
 	require.False(t, reads(), "this host is among the readers by its hash; choose another number")
 	now += 100 * time.Millisecond
-	beat(2, false)
+	heartbeats(2, false)
 	r.Reduce(now, Tick{})
 	require.False(t, reads(), "not at the first word")
 	now += readersTimeout + time.Millisecond
-	beat(3, false)
+	heartbeats(3, false)
 	r.Reduce(now, Tick{})
 	require.True(t, reads())
 }
@@ -233,26 +233,26 @@
 // but one that is still missing two seconds after the store's return is gone, and its address may
 // belong to another.
 func TestLapsedRegistrationIsUsedBrieflyOnly(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.post(StoreStatus{OK: false})
 	b.post(Update{FromStore: true, Full: true, AsOf: rev(60)})
-	engine, _ := b.submit(urgent, 0, 10)
+	engine, _ := b.submit(urgentRoute, 0, 10)
 	require.Equal(t, "e0", engine)
 	b.now += lapsedGracePeriod
-	_, refused := b.submit(urgent, 0, 10)
+	_, refused := b.submit(urgentRoute, 0, 10)
 	require.NotNil(t, refused)
 	require.Equal(t, NoBackend, refused.Cause)
 }
 
 // A server that drains is removed as the store returns. It said that it leaves: it is never doubtful.
 func TestDrainedServerIsNeverUsedAgain(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	ch := routing.BackendChange{Revision: rev(55), Backend: b.r.backends["e0"].Backend}
 	ch.Draining = true
 	b.post(Update{FromStore: true, Revision: rev(55), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
 	b.post(StoreStatus{OK: false})
 	b.post(Update{FromStore: true, Full: true, AsOf: rev(60)})
-	_, refused := b.submit(urgent, 0, 10)
+	_, refused := b.submit(urgentRoute, 0, 10)
 	require.NotNil(t, refused)
 }
 
@@ -260,26 +260,26 @@
 // seconds, and they look idle: each of hundreds of requests tried one or two of them, for up to 200 ms
 // each where nothing answers, before it was refused.
 func TestDeadEnginesAreNotTriedWhileOthersAreFull(t *testing.T) {
-	b := newBench(t, 2)
+	b := newFixture(t, 2)
 	b.r.backends["e0"].connectFailed(b.now)
 	for i := 0; i < 20; i++ {
-		engine, _ := b.submit(urgent, 0, 10)
+		engine, _ := b.submit(urgentRoute, 0, 10)
 		require.NotEqual(t, "e0", engine)
 	}
 	b.r.backends["e1"].connectFailed(b.now)
-	engine, _ := b.submit(hint, 2, 10)
+	engine, _ := b.submit(lowPriorityRoute, 2, 10)
 	require.NotEmpty(t, engine, "with all of them dead the fault may be this host's own")
 }
 
 // A crashed engine starts again at its address under a new id. Whoever still asks for the old one is told
 // so; it never comes back, however long its registration lives.
 func TestReplacedEngineIsLeftForGood(t *testing.T) {
-	b := newBench(t, 1)
-	engine, _ := b.submit(urgent, 0, 10)
+	b := newFixture(t, 1)
+	engine, _ := b.submit(urgentRoute, 0, 10)
 	require.Equal(t, "e0", engine)
 	b.post(DispatchEnded{ID: 1, Outcome: WrongInstance})
 	b.now += time.Minute
-	_, refused := b.submit(urgent, 0, 10)
+	_, refused := b.submit(urgentRoute, 0, 10)
 	require.NotNil(t, refused)
 	require.Equal(t, NoBackend, refused.Cause)
 }
@@ -288,21 +288,21 @@
 // and its engines get work at once, one request each until one is answered. They were left alone for two
 // seconds more while the others refused a hundred requests.
 func TestZoneHeardAgainGetsWork(t *testing.T) {
-	b := newBench(t, 2)
+	b := newFixture(t, 2)
 	e0 := b.r.backends["e0"]
 	e0.Zone = "z1"
 	b.r.backends["e1"].ownLoad.counts[0] = 5 + headroom
-	hear := func(seq uint64) {
+	heartbeat := func(seq uint64) {
 		b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.1.1", Zone: "z1", Incarnation: 1, Seq: seq}})
 	}
-	hear(1)
+	heartbeat(1)
 	b.now += time.Second
 	b.post(Tick{})
 	e0.connectFailed(b.now)
-	_, refused := b.submit(urgent, 0, 10)
+	_, refused := b.submit(urgentRoute, 0, 10)
 	require.NotNil(t, refused)
-	hear(2)
-	engine, _ := b.submit(urgent, 0, 10)
+	heartbeat(2)
+	engine, _ := b.submit(urgentRoute, 0, 10)
 	require.Equal(t, "e0", engine)
 	require.True(t, e0.onProbation())
 }
@@ -311,10 +311,10 @@
 // and sends a stream there, which would not end in time. It is told to come back at once: its next
 // connection leads to another host, where it is in time. Told to wait, nearly all were late.
 func TestDrainingHostSendsCallersOnAtOnce(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.post(Drain{Until: b.now + 8*time.Second, Grace: 8 * time.Second})
 	b.now += drainAcceptDuration
-	_, refused := b.submit(hint, 2, 10)
+	_, refused := b.submit(lowPriorityRoute, 2, 10)
 	require.Equal(t, ShutDown, refused.Cause)
 	require.LessOrEqual(t, refused.RetryAfter, 10*time.Millisecond)
 	require.Positive(t, refused.RetryAfter)
@@ -324,12 +324,12 @@
 // queued four deep at each of them alike, so that at engines of one slot nearly all came late; now what may
 // wait follows from how often a place comes free, and the most urgent still go before the others.
 func TestPlacesToWaitFollowTheEngine(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	e0 := b.r.backends["e0"]
 	e0.learnEventInterval(20 * time.Millisecond)
 	limit := func(slots int, rank float64) int {
 		e0.Slots = slots
-		s := b.r.newSelector(&request{Submit: Submit{Route: urgent, Rank: rank}, service: "m"}, scopeAll)
+		s := b.r.newSelector(&request{Submit: Submit{Route: urgentRoute, Rank: rank}, service: "m"}, scopeAll)
 		return s.requestLimit(e0)
 	}
 	require.Equal(t, 1+1, limit(1, 0), "30 events of 20 ms are more than half of the objective")
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -17,14 +17,14 @@
 	quotaRate   = 640_000.0
 	quotaWindow = 8 * time.Second
 	quotaStep   = 10 * time.Millisecond
-	// hotAt is when the workspace begins to ask for six times its quota, and hotFor how long.
-	hotAt  = 4 * time.Second
-	hotFor = 14 * time.Second
+	// burstAt is when the workspace begins to ask for six times its quota, and hotFor how long.
+	burstAt       = 4 * time.Second
+	burstDuration = 14 * time.Second
 )
 
-// hotWorkspace is a fleet of six zones in which one workspace asks for seven tenths of its quota and then for
+// busyWorkspace is a fleet of six zones in which one workspace asks for seven tenths of its quota and then for
 // six times of it.
-type hotWorkspace struct {
+type busyWorkspace struct {
 	*zone
 	workspace routing.Workspace
 	bounds    Bounds
@@ -32,17 +32,17 @@
 	admitted []float64
 	step     float64 // since the last of them
 	byHost   map[string]float64
-	// times is how many times its quota the workspace asks for when it is hot.
-	times float64
+	// demand is how many demand its quota the workspace asks for when it is hot.
+	demand float64
 }
 
-func newHotWorkspace(t testing.TB, hostsPerZone int) *hotWorkspace {
+func newBusyWorkspace(t testing.TB, hostsPerZone int) *busyWorkspace {
 	return newWorkspace(t, hostsPerZone, quotaRate)
 }
 
 // newWorkspace is a fleet with a workspace of another quota.
-func newWorkspace(t testing.TB, hostsPerZone int, rate float64) *hotWorkspace {
-	f := &hotWorkspace{zone: newZones(t, 6, hostsPerZone, 60), byHost: map[string]float64{}, times: 6,
+func newWorkspace(t testing.TB, hostsPerZone int, rate float64) *busyWorkspace {
+	f := &busyWorkspace{zone: newZones(t, 6, hostsPerZone, 60), byHost: map[string]float64{}, demand: 6,
 		workspace: routing.Workspace{Name: "w", Rate: rate, Burst: rate, InTokens: true},
 		bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, QuotaWindow: quotaWindow, QuotaOverage: 0.25,
 			QuotaSlack: 190_000}}
@@ -57,16 +57,16 @@
 	return f
 }
 
-// ask runs the hot workspace; at is called at each step with the time since the beginning.
-func (f *hotWorkspace) ask(at func(time.Duration)) {
+// submitRequests runs the hot workspace; at is called at each step with the time since the beginning.
+func (f *busyWorkspace) submitRequests(at func(time.Duration)) {
 	due := 0.0
-	for since := time.Duration(0); since < hotAt+hotFor; since += quotaStep {
+	for since := time.Duration(0); since < burstAt+burstDuration; since += quotaStep {
 		at(since)
-		times := 0.7
-		if since > hotAt {
-			times = f.times
+		demand := 0.7
+		if since > burstAt {
+			demand = f.demand
 		}
-		due += times * f.workspace.Rate * quotaStep.Seconds()
+		due += demand * f.workspace.Rate * quotaStep.Seconds()
 		for due > 0 {
 			cost := math.Min(53_000, 500+f.rng.ExpFloat64()*4000)
 			due -= cost
@@ -81,8 +81,8 @@
 	}
 }
 
-// worst is the most that was admitted in a window, as a part of the operators' bound.
-func (f *hotWorkspace) worst() float64 {
+// maxAdmitted is the most that was admitted in a window, as a part of the operators' bound.
+func (f *busyWorkspace) maxAdmitted() float64 {
 	bound := (f.workspace.Rate*quotaWindow.Seconds()+f.workspace.Rate)*(1+f.bounds.QuotaOverage) + f.bounds.QuotaSlack
 	steps, worst := int(quotaWindow/quotaStep), 0.0
 	for from := 0; from+steps <= len(f.admitted); from++ {
@@ -96,7 +96,7 @@
 }
 
 // restart starts a host again, with the configuration that others have.
-func (f *hotWorkspace) restart(h *zoneHost, incarnation uint64) {
+func (f *busyWorkspace) restart(h *zoneHost, incarnation uint64) {
 	h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: incarnation, Seed: incarnation, Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
 	h.startedAt = f.now
 	cfg := *f.hosts[1].r.table.Config
@@ -108,9 +108,9 @@
 // beyond. While a quota is near its end, beats go out twice as often.
 func TestQuotaHoldsInALargeFleet(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 16)
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 0.89)
+	f := newBusyWorkspace(t, 16)
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 0.89)
 }
 
 // Three hundred hosts, and a workspace that asks for twenty times its quota from one moment on: more than the operators allow goes through.
@@ -118,18 +118,18 @@
 // any size, so that nearly all hosts go into debt by most of a request in the same moment. With requests of a twentieth of
 // the size, and twelve times the quota, such a fleet keeps to 0.86 of the bound.
 func TestQuotaHoldsInAFleetOfHundreds(t *testing.T) {
-	f := newHotWorkspace(t, 49)
-	f.times = 20
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 1.0)
+	f := newBusyWorkspace(t, 49)
+	f.demand = 20
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
 // Six times its quota again, in a fleet of 96 hosts, and a third of them start again in the middle of it.
 func TestQuotaHoldsWhileHostsRestart(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 16)
-	f.ask(func(at time.Duration) {
-		if at != hotAt+4*time.Second {
+	f := newBusyWorkspace(t, 16)
+	f.submitRequests(func(at time.Duration) {
+		if at != burstAt+4*time.Second {
 			return
 		}
 		for i, h := range f.hosts {
@@ -138,7 +138,7 @@
 			}
 		}
 	})
-	require.Less(t, f.worst(), 1.0)
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
 // A third of the hosts of a large fleet are cut off from all others, each alone, while a workspace asks for six
@@ -147,12 +147,12 @@
 // part each. They keep to little more than their even part now.
 func TestHostsThatHearNobodyKeepToTheirPart(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 16)
+	f := newBusyWorkspace(t, 16)
 	cut := map[string]bool{}
 	for i, h := range f.hosts {
 		cut[h.ip] = i%3 == 0
 	}
-	alone := func() float64 {
+	cutOffTokens := func() float64 {
 		sum := 0.0
 		for host, tokens := range f.byHost {
 			if cut[host] {
@@ -162,17 +162,17 @@
 		return sum
 	}
 	var before float64
-	f.ask(func(at time.Duration) {
+	f.submitRequests(func(at time.Duration) {
 		switch at {
-		case hotAt + 2*time.Second:
+		case burstAt + 2*time.Second:
 			f.drops = func(from, to string, _ *gossippb.Packet) bool { return cut[from] || cut[to] }
-		case hotAt + 6*time.Second:
-			before = alone()
+		case burstAt + 6*time.Second:
+			before = cutOffTokens()
 		}
 	})
-	share := (alone() - before) / (quotaRate * (hotFor - 6*time.Second).Seconds())
+	share := (cutOffTokens() - before) / (quotaRate * (burstDuration - 6*time.Second).Seconds())
 	require.Less(t, share, 0.5, "their even part is a third")
-	require.Less(t, f.worst(), 1.0)
+	require.Less(t, f.maxAdmitted(), 1.0)
 	require.Positive(t, share)
 }
 
@@ -181,26 +181,26 @@
 // the others, divided the quota among its own hosts only and let a whole quota through: 4.16 times the bound together.
 func TestQuotaHoldsWhileZonesAreApartForLong(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 16)
+	f := newBusyWorkspace(t, 16)
 	zoneOf := map[string]string{}
 	for _, h := range f.hosts {
 		zoneOf[h.ip] = h.zone
 	}
 	f.drops = func(from, to string, _ *gossippb.Packet) bool { return zoneOf[from] != zoneOf[to] }
 	f.run(20*time.Second, 0)
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 1.0)
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
 // The same with twelve hosts, each of them cut off from all others: 4.16 times the bound, and 2.25 with the longer
 // memory alone, since each had kept a bucket as full as the whole fleet's.
 func TestQuotaHoldsWhileHostsAreAloneForLong(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 2)
+	f := newBusyWorkspace(t, 2)
 	f.drops = func(string, string, *gossippb.Packet) bool { return true }
 	f.run(20*time.Second, 0)
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 1.0)
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
 const smallRate = 47_000.0
@@ -233,18 +233,18 @@
 func TestSmallQuotaHoldsInAFleetOfHundreds(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 49, smallRate)
-	f.times = 20
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 1.0)
+	f.demand = 20
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
 // Guards against a quota that nobody decides over for seconds after its owners have died, or that is overdrawn as others take over.
 func TestQuotaHoldsAsItsOwnersDie(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 16, smallRate)
-	f.times = 8
-	f.ask(func(at time.Duration) {
-		if at < hotAt || at%(4*time.Second) != 0 {
+	f.demand = 8
+	f.submitRequests(func(at time.Duration) {
+		if at < burstAt || at%(4*time.Second) != 0 {
 			return
 		}
 		for zone := range 6 {
@@ -253,12 +253,12 @@
 			}
 		}
 	})
-	require.Less(t, f.worst(), 1.0)
+	require.Less(t, f.maxAdmitted(), 1.0)
 	late := 0.0
 	for _, v := range f.admitted[len(f.admitted)/2:] {
 		late += v
 	}
-	require.Greater(t, late, 0.8*smallRate*(hotAt+hotFor).Seconds()/2, "the workspace has its quota all the while")
+	require.Greater(t, late, 0.8*smallRate*(burstAt+burstDuration).Seconds()/2, "the workspace has its quota all the while")
 }
 
 // Guards against an owner's late answer that charges a workspace for a request which was decided without it, and against the cost
@@ -273,7 +273,7 @@
 	}
 	spent := func() float64 { return owner.r.quotas["w"].Spent() }
 	f.next++
-	f.post(asker, Submit{ID: f.next, Route: urgent, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
+	f.post(asker, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
 	f.post(asker, CallerLeft{ID: f.next}) // its caller leaves before the owner answers
 	f.run(20*time.Millisecond, 0)
 	require.Zero(t, spent())
@@ -283,7 +283,7 @@
 	}
 	f.next++
 	f.runs[f.next] = &zoneRun{host: asker, submittedAt: f.now}
-	f.post(asker, Submit{ID: f.next, Route: urgent, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
+	f.post(asker, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
 	f.run(20*time.Millisecond, 0)
 	require.Equal(t, 1, f.refused)
 	require.Zero(t, spent())
@@ -310,7 +310,7 @@
 // host's link, and those who miss them take the zone for cut off.
 func TestSumsNameWhatWasSpentSince(t *testing.T) {
 	const workspaces = 200
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	cfg := &routing.Config{Version: 9}
 	for i := range workspaces {
 		cfg.Workspaces = append(cfg.Workspaces, routing.Workspace{Name: fmt.Sprintf("w%03d", i), Rate: 1e6, Burst: 1e6, InTokens: true})
--- a/internal/router/regions_test.go
+++ b/internal/router/regions_test.go
@@ -12,7 +12,7 @@
 // Route and workspace each name the only regions that may serve them. A request goes to no backend server elsewhere, and where
 // they name no common one it is refused as not run, with a time to come back.
 func TestRequestsStayInTheirRegions(t *testing.T) {
-	r := lone(t, "a", "b", "c")
+	r := newStandalone(t, "a", "b", "c")
 	r.opt.Regions = map[string]string{"z0": "north", "z1": "north", "z2": "south"}
 	for i, id := range []string{"a", "b", "c"} {
 		ch := changeOf(id, uint64(60+i), false)
@@ -26,10 +26,10 @@
 		seen := map[string]bool{}
 		for range 40 {
 			id++
-			to := *urgent
+			to := *urgentRoute
 			to.Regions = route
 			out := r.Reduce(at, Submit{ID: id, Route: &to, Workspace: &routing.Workspace{Name: "w", Regions: workspace}, Deadline: time.Minute})
-			if back, refused := has[Refuse](out); refused {
+			if back, refused := findEffect[Refuse](out); refused {
 				require.Positive(t, back.RetryAfter)
 				seen["refused"] = true
 				continue
@@ -53,7 +53,7 @@
 
 // A configuration names a region that no zone is in: one line in the log, each time it changes.
 func TestUnknownRegionsAreNoted(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	r.opt.Regions = map[string]string{"z0": "north"}
 	out := r.Reduce(time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 		Routes: []routing.Route{{Name: "x", Regions: []string{"north", "atlantis"}}, {Name: "y", Regions: []string{"atlantis"}}}}}})
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -22,12 +22,12 @@
 }
 
 // receive posts changes as a peer would receive them.
-func (b *bench) receive(changes ...routing.BackendChange) []Effect {
+func (b *fixture) receive(changes ...routing.BackendChange) []Effect {
 	return b.post(Update{Changes: routing.Changes{Backends: changes}})
 }
 
 // serves tells whether e0 would get a request now.
-func (b *bench) serves() bool {
+func (b *fixture) serves() bool {
 	e0, known := b.r.backends["e0"]
 	if !known {
 		return false
@@ -40,12 +40,12 @@
 // called replaced; its callers wait for answers that never come. The new start has done none of this: it
 // gets work at once, and what waits for the earlier one ends as broken without harm to the new one.
 func TestNextStartOfAnEngineIsUnknown(t *testing.T) {
-	b := newBench(t, 0)
+	b := newFixture(t, 0)
 	b.receive(startOf(1000, 60))
-	b.submit(hint, 2, 10)
+	b.submit(lowPriorityRoute, 2, 10)
 	first := b.next
 	old := b.r.backends["e0"]
-	b.learn("e0", 400*time.Millisecond)
+	b.observeInterval("e0", 400*time.Millisecond)
 	old.connectFailed(b.now)
 	old.replaced = true
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
@@ -62,7 +62,7 @@
 	require.Equal(t, GiveUp{ID: first, Cause: BackendLost, DeliverFailure: true}, effects[0], "whether it ran is unknown")
 	require.Zero(t, next.failures)
 	require.Zero(t, next.ownLoad.total())
-	engine, _ := b.submit(hint, 2, 10)
+	engine, _ := b.submit(lowPriorityRoute, 2, 10)
 	require.Equal(t, "e0", engine)
 	require.Equal(t, 1, next.ownLoad.total())
 }
@@ -70,7 +70,7 @@
 // A write of the earlier start reaches the store after the first one of the new start, or a peer that was
 // cut off tells of it. It must not hide the new start, nor bring an engine back that has left.
 func TestEarlierStartNeverComesBack(t *testing.T) {
-	b := newBench(t, 0)
+	b := newFixture(t, 0)
 	b.receive(startOf(2000, 60))
 	late := startOf(1000, 65)
 	late.Draining = true
@@ -96,7 +96,7 @@
 // Another program writes where an engine was registered. Its address may be anything: the engine gets no
 // more work, not even as long as a lapsed one would, until it registers again.
 func TestForeignRegistrationNamesNoServer(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.post(StoreStatus{OK: false}) // so that a lapse would be doubted
 	b.receive(foreignWrite(60))
 	require.False(t, b.serves())
@@ -112,15 +112,15 @@
 
 // What is registered in a service of model engines without models is no model engine.
 func TestServerOfAnotherKindGetsNoWork(t *testing.T) {
-	b := newBench(t, 0)
+	b := newFixture(t, 0)
 	plain := changeOf("e0", 60, false)
 	plain.Model = false
 	b.receive(plain)
-	_, refused := b.submit(urgent, 0, 10)
+	_, refused := b.submit(urgentRoute, 0, 10)
 	require.NotNil(t, refused)
 	require.Equal(t, NoBackend, refused.Cause)
 	b.receive(changeOf("e1", 61, false))
-	engine, _ := b.submit(urgent, 0, 10)
+	engine, _ := b.submit(urgentRoute, 0, 10)
 	require.Equal(t, "e1", engine)
 }
 
@@ -143,7 +143,7 @@
 	for name, play := range cases {
 		digests := map[uint64]bool{}
 		permute(len(play.changes), func(order []int) {
-			b := newBench(t, 0)
+			b := newFixture(t, 0)
 			b.now += lapseWindow // so that nothing is taken for a lapse
 			for _, i := range append(append([]int(nil), order...), order...) {
 				b.receive(play.changes[i])
--- a/internal/router/said_test.go
+++ b/internal/router/said_test.go
@@ -24,7 +24,7 @@
 // A backend server says in an answer that it leaves, and its registration says afterwards that it is ready: the store took
 // that write first and is read later. The word of the server holds for that start of it; the next one is used.
 func TestLeavingHoldsForThatStart(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	ready := func(revision, start uint64) routing.BackendChange {
 		ch := changeOf("a", revision, false)
 		ch.Start = start
@@ -34,7 +34,7 @@
 	r.Reduce(2*time.Second, BackendAnnouncement{ID: "a", Start: 5, Leaving: true})
 	for revision := uint64(61); revision < 64; revision++ {
 		register(r, 3*time.Second, ready(revision, 5))
-		_, refused := has[Refuse](submitted(r, revision, 4*time.Second))
+		_, refused := findEffect[Refuse](submitted(r, revision, 4*time.Second))
 		require.True(t, refused)
 	}
 	register(r, 5*time.Second, ready(70, 6))
@@ -46,12 +46,12 @@
 // A registration that lapsed around an outage of the store is used a little longer, as its server mostly lives. Not so where
 // the server had said that it leaves.
 func TestLeavingIsNotInDoubt(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	r.Reduce(2*time.Second, BackendAnnouncement{ID: "a", Leaving: true})
 	r.Reduce(3*time.Second, StoreStatus{})
 	ch := changeOf("a", 60, true)
 	register(r, 4*time.Second, ch)
-	_, refused := has[Refuse](submitted(r, 1, 4*time.Second))
+	_, refused := findEffect[Refuse](submitted(r, 1, 4*time.Second))
 	require.True(t, refused)
 }
 
@@ -92,7 +92,7 @@
 			asker.r.Reduce(z.now, announcement)
 			out := asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 			require.True(t, releasesSlot(out, place.Backend))
-			if d, ok := has[Dispatch](out); ok {
+			if d, ok := findEffect[Dispatch](out); ok {
 				require.NotEqual(t, announcement.ID, d.Backend.ID)
 			}
 		})
@@ -103,16 +103,16 @@
 // back when it may be asked again, where nobody else is there. Then it gets one request at a time until it has
 // answered one, as all hosts that it turned away come back.
 func TestTimeToStayAway(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	at := 2 * time.Second
 	dispatchOf(t, submitted(r, 1, at))
 	r.Reduce(at, BackendAnnouncement{ID: "a", HoldOff: 2 * time.Second})
 	r.Reduce(at, BackendAnnouncement{ID: "a", HoldOff: time.Millisecond}) // of a request that was turned away before
 	out := r.Reduce(at, DispatchEnded{ID: 1, Outcome: Rejected})
-	refuse, ok := has[Refuse](out)
+	refuse, ok := findEffect[Refuse](out)
 	require.True(t, ok)
 	require.GreaterOrEqual(t, refuse.RetryAfter, 2*time.Second)
-	_, refused := has[Refuse](submitted(r, 2, at+2*time.Second-1))
+	_, refused := findEffect[Refuse](submitted(r, 2, at+2*time.Second-1))
 	require.True(t, refused)
 	later := at + 2*time.Second + maxHoldOffJitter
 	dispatchOf(t, submitted(r, 3, later))
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -68,7 +68,7 @@
 // the newcomer asks for news only when it hears that there are any: at the usual period of beats, callers
 // would be refused up to a tenth of a second longer.
 func TestNewcomerHearsAtOnce(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	b.now += minChangeGap + time.Millisecond
 	b.post(Tick{})
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -12,16 +12,16 @@
 	"fireflyshift/internal/routing"
 )
 
-// knownWithin is how long after the third end all hosts have to know, as the operators state it.
-const knownWithin = 3 * time.Second
+// maxSpreadTime is how long after the third end all hosts have to know, as the operators state it.
+const maxSpreadTime = 3 * time.Second
 
 var (
 	deadly  = quarantine.Identity{Target: "/deadly"}.Digest()
 	popular = quarantine.Identity{Target: "/popular"}.Digest()
 )
 
-// outbreak sends one request again and again to hosts of a fleet; it ends each engine that runs it.
-type outbreak struct {
+// deadlySender sends one request again and again to hosts of a fleet; it ends each engine that runs it.
+type deadlySender struct {
 	z       *zone
 	ended   map[string]bool
 	ends    int
@@ -31,11 +31,11 @@
 	refused int
 }
 
-func newOutbreak(z *zone) *outbreak { return &outbreak{z: z, ended: map[string]bool{}} }
+func newDeadlySender(z *zone) *deadlySender { return &deadlySender{z: z, ended: map[string]bool{}} }
 
 // send submits the deadly request at a host. The engine that runs it ends a moment later, and a connection to it is refused
 // from then on.
-func (o *outbreak) send(h *zoneHost) {
+func (o *deadlySender) send(h *zoneHost) {
 	z := o.z
 	z.next++
 	id := z.next
@@ -66,7 +66,7 @@
 	delete(z.runs, id)
 	o.ended[engine] = true
 	o.sends++
-	if o.ends >= 3 && z.now > o.thirdAt+knownWithin {
+	if o.ends >= 3 && z.now > o.thirdAt+maxSpreadTime {
 		o.late++
 	}
 	if o.ends++; o.ends == 3 {
@@ -88,12 +88,12 @@
 		t.Run(fmt.Sprintf("%d zones of %d", c.zones, c.hosts), func(t *testing.T) {
 			z := newZones(t, c.zones, c.hosts, 12)
 			z.drops = func(_, _ string, _ *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
-			o := newOutbreak(z)
+			o := newDeadlySender(z)
 			for i := range 80 {
 				o.send(z.hosts[(i*7)%len(z.hosts)])
 				z.run(100*time.Millisecond, 0)
 			}
-			require.Greater(t, z.now, o.thirdAt+2*knownWithin)
+			require.Greater(t, z.now, o.thirdAt+2*maxSpreadTime)
 			require.Zero(t, o.late)
 			t.Logf("%d sends, %d refused", o.sends, o.refused)
 			for _, h := range z.hosts {
@@ -107,7 +107,7 @@
 // three. Soon after the cut has healed all do.
 func TestEndsOfBothSidesOfACutAddUp(t *testing.T) {
 	z := newZones(t, 3, 8, 8)
-	o := newOutbreak(z)
+	o := newDeadlySender(z)
 	cut := true
 	z.drops = func(from, to string, _ *gossippb.Packet) bool {
 		return cut && (z.byIP[from].zone == "z0") != (z.byIP[to].zone == "z0")
@@ -116,12 +116,12 @@
 	o.send(z.hosts[0])
 	o.send(z.hosts[9])
 	o.send(z.hosts[17])
-	z.run(2*knownWithin, 0) // nobody tells it as new any more
+	z.run(2*maxSpreadTime, 0) // nobody tells it as new any more
 	for _, h := range z.hosts {
 		require.Nil(t, h.r.suspects.ledger.Blamed(deadly), h.ip)
 	}
 	cut = false
-	z.run(knownWithin, 0)
+	z.run(maxSpreadTime, 0)
 	for _, h := range z.hosts {
 		require.NotNil(t, h.r.suspects.ledger.Blamed(deadly), h.ip)
 	}
@@ -132,15 +132,15 @@
 func TestStartedHostHearsOfQuarantines(t *testing.T) {
 	for _, perZone := range []int{3, 8} {
 		z := newZones(t, 3, perZone, 8)
-		o := newOutbreak(z)
+		o := newDeadlySender(z)
 		for i := range 3 {
 			o.send(z.hosts[perZone*i])
 		}
-		z.run(2*knownWithin, 0)
+		z.run(2*maxSpreadTime, 0)
 		h := z.hosts[2]
 		h.startedAt = z.now
 		h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: 999, Seed: 9, Seeds: []string{"10.0.0.1"}, Bounds: Bounds{RetryRatio: 0.2, RetryWindow: time.Second}})
-		z.run(knownWithin, 0)
+		z.run(maxSpreadTime, 0)
 		require.NotNil(t, h.r.suspects.ledger.Blamed(deadly), "%d hosts a zone", perZone)
 	}
 }
@@ -153,19 +153,19 @@
 		h := z.hosts[8*i]
 		h.r.recordEndWithRequest(h.r.backends[engine], brokenRequest{popular, "school", z.now - h.startedAt})
 	}
-	z.run(knownWithin, 0)
+	z.run(maxSpreadTime, 0)
 	h := z.hosts[4]
 	require.NotNil(t, h.r.suspects.ledger.Blamed(popular), "until a run ends well")
 	q := &request{Submit: Submit{Digest: popular}}
 	h.r.recordRequestOutcome(h.r.backends["e002"], q, DispatchEnded{Outcome: Answered, Success: true})
-	z.run(knownWithin, 0)
+	z.run(maxSpreadTime, 0)
 	for _, h := range z.hosts {
 		require.Nil(t, h.r.suspects.ledger.Blamed(popular), h.ip)
 	}
 }
 
-// lone is a host that knows some engines and no other host.
-func lone(t *testing.T, engines ...string) *Router {
+// newStandalone is a host that knows some engines and no other host.
+func newStandalone(t *testing.T, engines ...string) *Router {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Bounds: Bounds{RetryRatio: 0.2, RetryWindow: time.Second, RetryExtra: 100}})
 	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1, Services: []routing.Service{{Name: "m", Model: true}}}}}
 	for _, id := range engines {
@@ -187,7 +187,7 @@
 	return Dispatch{}
 }
 
-func has[E Effect](out []Effect) (found E, ok bool) {
+func findEffect[E Effect](out []Effect) (found E, ok bool) {
 	for _, e := range out {
 		if f, is := e.(E); is {
 			return f, true
@@ -196,8 +196,8 @@
 	return found, false
 }
 
-// breaks sends a request with a digest and lets its answer break; it returns the engine and what follows.
-func breaks(t *testing.T, r *Router, id uint64, at time.Duration, route *routing.Route) (engine string, out []Effect) {
+// sendAndBreak sends a request with a digest and lets its answer break; it returns the engine and what follows.
+func sendAndBreak(t *testing.T, r *Router, id uint64, at time.Duration, route *routing.Route) (engine string, out []Effect) {
 	d := dispatchOf(t, r.Reduce(at, Submit{ID: id, Route: route, Digest: deadly, Deadline: at + time.Minute}))
 	return d.Backend.ID, r.Reduce(at, DispatchEnded{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
 }
@@ -236,9 +236,9 @@
 		}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := lone(t, "a")
-			engine, out := breaks(t, r, 1, 2*time.Second, fragile)
-			check, ok := has[Probe](out)
+			r := newStandalone(t, "a")
+			engine, out := sendAndBreak(t, r, 1, 2*time.Second, fragile)
+			check, ok := findEffect[Probe](out)
 			require.True(t, ok)
 			require.Equal(t, engine, check.Backend.ID)
 			c.then(r, engine)
@@ -250,22 +250,22 @@
 // An engine's registration lapses while a request breaks there, and comes back: it lives. What breaks there later says
 // nothing of its requests.
 func TestLapsedEngineThatIsBackHasNotEnded(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	register(r, 12*time.Second, changeOf("a", 60, true))
 	register(r, 13*time.Second, changeOf("a", 61, false))
-	breaks(t, r, 1, 14*time.Second, fragile)
+	sendAndBreak(t, r, 1, 14*time.Second, fragile)
 	require.False(t, r.HasSuspects())
 }
 
 // An engine that leaves ends by itself, with streams in flight that took too long. They did no harm.
 func TestLeavingEngineAccusesNobody(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	d := dispatchOf(t, r.Reduce(2*time.Second, Submit{ID: 1, Route: fragile, Deadline: time.Minute}))
 	ch := changeOf("a", 60, false)
 	ch.Draining = true
 	r.Reduce(3*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
 	out := r.Reduce(4*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
-	_, asked := has[Probe](out)
+	_, asked := findEffect[Probe](out)
 	require.False(t, asked)
 	r.Reduce(4*time.Second, ProbeResult{ID: d.Backend.ID, Refused: true})
 	require.False(t, r.HasSuspects())
@@ -275,7 +275,7 @@
 // soon as the request is found out, say that it may have run, and spend none of the service's retry budget on it; a
 // caller's next attempt has not run, and is told so.
 func TestQuarantineEndsOwnRepeats(t *testing.T) {
-	r := lone(t, "a", "b", "c", "d", "e", "f")
+	r := newStandalone(t, "a", "b", "c", "d", "e", "f")
 	resumable := &routing.Route{Name: "resumable", Kind: routing.Streaming, Resumable: true, MaxAttempts: 6, Shares: fragile.Shares}
 	at := 2 * time.Second
 	d := dispatchOf(t, r.Reduce(at, Submit{ID: 1, Route: resumable, Deadline: at + time.Minute}))
@@ -286,11 +286,11 @@
 	}
 	r.recordEndWithRequest(r.backends[d.Backend.ID], brokenRequest{deadly, "", at}) // a beside one, from another host
 	out := r.Reduce(at, DispatchEnded{ID: 1, Outcome: Broken, Fault: true, Digest: deadly})
-	give, ok := has[GiveUp](out)
+	gaveUp, ok := findEffect[GiveUp](out)
 	require.True(t, ok)
-	require.Equal(t, Quarantined, give.Cause)
+	require.Equal(t, Quarantined, gaveUp.Cause)
 	out = r.Reduce(at, Submit{ID: 2, Route: resumable, Digest: deadly, Deadline: at + time.Minute})
-	refuse, ok := has[Refuse](out)
+	refuse, ok := findEffect[Refuse](out)
 	require.True(t, ok)
 	require.Equal(t, Quarantined, refuse.Cause)
 	require.Positive(t, refuse.RetryAfter)
@@ -305,7 +305,7 @@
 		h := z.hosts[3*i]
 		h.r.recordEndWithRequest(h.r.backends[engine], brokenRequest{deadly, "school", z.now})
 	}
-	z.run(knownWithin, 0)
+	z.run(maxSpreadTime, 0)
 	z.now += time.Minute
 	z.run(2*time.Second, 0)
 	var tried []*zoneHost
@@ -329,10 +329,10 @@
 	engine := z.runs[id].engine
 	z.post(tried[0], DispatchEnded{ID: id, Outcome: Broken, Fault: true, Digest: deadly})
 	z.post(tried[0], ProbeResult{ID: engine, Refused: true})
-	z.run(knownWithin+trialTimeout, 0)
+	z.run(maxSpreadTime+trialTimeout, 0)
 	for _, h := range z.hosts {
 		out := h.r.Reduce(z.now, Submit{ID: 1 << 40, Route: fragile, Digest: deadly, Deadline: z.now + time.Minute})
-		refuse, ok := has[Refuse](out)
+		refuse, ok := findEffect[Refuse](out)
 		require.True(t, ok)
 		require.Greater(t, refuse.RetryAfter, 5*time.Minute, "longer each time")
 	}
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -133,7 +133,7 @@
 func (z *zone) submitAt(h *zoneHost, w *routing.Workspace, cost float64, admitted func(host string)) {
 	z.next++
 	z.runs[z.next] = &zoneRun{host: h, submittedAt: z.now, admitted: admitted}
-	z.post(h, Submit{ID: z.next, Route: urgent, Workspace: w, Cost: cost, Deadline: z.now - h.startedAt + time.Second})
+	z.post(h, Submit{ID: z.next, Route: urgentRoute, Workspace: w, Cost: cost, Deadline: z.now - h.startedAt + time.Second})
 }
 
 func (z *zone) effect(h *zoneHost, e Effect) {
@@ -280,7 +280,7 @@
 	}
 	z.next++
 	z.runs[z.next] = &zoneRun{host: h, submittedAt: z.now}
-	z.post(h, Submit{ID: z.next, Route: urgent, Rank: 0, PromptTok: 1000, OutputTok: 160, Deadline: z.now + 10*time.Second})
+	z.post(h, Submit{ID: z.next, Route: urgentRoute, Rank: 0, PromptTok: 1000, OutputTok: 160, Deadline: z.now + 10*time.Second})
 }
 
 // owners are the hosts that own engines, by the first host's word.
@@ -412,7 +412,7 @@
 func (z *zone) requestSlot(h *zoneHost) (*gossippb.Ask, string) {
 	for range 20 {
 		z.next++
-		for _, s := range effectsOf[Send](h.r.Reduce(z.now, Submit{ID: z.next, Route: urgent, PromptTok: 1000, Deadline: z.now + 10*time.Second})) {
+		for _, s := range effectsOf[Send](h.r.Reduce(z.now, Submit{ID: z.next, Route: urgentRoute, PromptTok: 1000, Deadline: z.now + 10*time.Second})) {
 			if s.Packet.Ask != nil {
 				return s.Packet.Ask, s.To[0]
 			}
