--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,7 +1,7 @@
-// Command demo starts the whole path on loopback as separate processes, sends requests of several
-// tiers and kinds through a round robin over the hosts, prints each answer, and checks that none was
-// missing, doubled or torn. It exits with 1 if one was. With --platform after the folder of the
-// programs it shows the path of the users' platform.
+// Command demo starts a complete system on loopback as separate processes and sends requests of several tiers and
+// kinds to its hosts in turn. It prints each response and checks that none is missing, duplicated or truncated;
+// otherwise it exits with 1. The first argument is the folder with the programs. With --platform as the second
+// argument it demonstrates the users' platform instead.
 package main
 
 import (
@@ -22,20 +22,20 @@
 const startTimeout = 20 * time.Second
 
 type demo struct {
-	bin       string
-	dir       string
-	processes []*fleet.Process
-	platform  string
-	engines   map[string]string // name to address
-	plain     string
-	hosts     []fleet.HostSpec
-	failures  int
+	binDir       string
+	workDir      string
+	processes    []*fleet.Process
+	platformAddr string
+	engines      map[string]string // addresses by name
+	plainAddr    string
+	hosts        []fleet.HostSpec
+	failures     int
 }
 
 func main() {
-	d := &demo{bin: "bin", engines: map[string]string{}}
+	d := &demo{binDir: "bin", engines: map[string]string{}}
 	if len(os.Args) > 1 {
-		d.bin = os.Args[1]
+		d.binDir = os.Args[1]
 	}
 	run := d.run
 	if len(os.Args) > 2 && os.Args[2] == "--platform" {
@@ -45,22 +45,22 @@
 	for _, p := range d.processes {
 		p.Kill()
 	}
-	if d.dir != "" {
-		_ = os.RemoveAll(d.dir)
+	if d.workDir != "" {
+		_ = os.RemoveAll(d.workDir)
 	}
 	if err != nil || d.failures > 0 {
-		fmt.Fprintf(os.Stderr, "demo failed: %d bad answers, %v\n", d.failures, err)
+		fmt.Fprintf(os.Stderr, "demo failed: %d wrong responses, %v\n", d.failures, err)
 		os.Exit(1)
 	}
-	fmt.Println("\nEvery answer came once and whole.")
+	fmt.Println("\nEvery response arrived exactly once and complete.")
 }
 
 func (d *demo) run() error {
 	var err error
-	if d.dir, err = os.MkdirTemp("", "fireflyshift-demo-"); err != nil {
+	if d.workDir, err = os.MkdirTemp("", "fireflyshift-demo-"); err != nil {
 		return err
 	}
-	if err := d.startOutside(); err != nil {
+	if err := d.startStandIns(); err != nil {
 		return err
 	}
 	if err := d.publish(); err != nil {
@@ -73,20 +73,20 @@
 	if err := d.checkRuns(); err != nil {
 		return err
 	}
-	return d.status()
+	return d.printStatus()
 }
 
 func (d *demo) start(program string, args ...string) error {
-	p, err := fleet.Start(filepath.Join(d.bin, program), args...)
+	p, err := fleet.Start(filepath.Join(d.binDir, program), args...)
 	if err == nil {
 		d.processes = append(d.processes, p)
 	}
 	return err
 }
 
-func (d *demo) startOutside() error {
-	d.platform, d.plain = fleet.Addr(), fleet.Addr()
-	if err := d.start("standin", "platform", "--listen", d.platform); err != nil {
+func (d *demo) startStandIns() error {
+	d.platformAddr, d.plainAddr = fleet.Addr(), fleet.Addr()
+	if err := d.start("standin", "platform", "--listen", d.platformAddr); err != nil {
 		return err
 	}
 	for name, step := range map[string]string{"fast": "5ms", "middling": "8ms", "slow": "15ms"} {
@@ -95,21 +95,21 @@
 			return err
 		}
 	}
-	if err := d.start("standin", "plain", "--listen", d.plain); err != nil {
+	if err := d.start("standin", "plain", "--listen", d.plainAddr); err != nil {
 		return err
 	}
 	up := fleet.Until(startTimeout, func() bool {
-		_, _, a := fleet.Get("http://" + d.platform + "/v1/hosts")
-		_, _, b := fleet.Get("http://" + d.plain + "/")
+		_, _, a := fleet.Get("http://" + d.platformAddr + "/v1/hosts")
+		_, _, b := fleet.Get("http://" + d.plainAddr + "/")
 		return a == nil && b == nil
 	})
 	if !up {
-		return fmt.Errorf("the stand-ins did not start")
+		return fmt.Errorf("the stand-ins did not start in time")
 	}
 	return nil
 }
 
-// publish acts as the operators: records of both sides, each in its own schema.
+// publish publishes the operators' records, in both versions of the schema.
 func (d *demo) publish() error {
 	records := []record.Raw{
 		fleet.Tier("push-check", 10, 20, 5000),
@@ -122,10 +122,10 @@
 		fleet.Backend("fast", "notes", "zone-a", d.engines["fast"], 8, "active"),
 		fleet.BackendV2("middling", "notes", "zone-a", d.engines["middling"], 8),
 		fleet.BackendV2("slow", "notes", "zone-b", d.engines["slow"], 8),
-		fleet.Backend("git-1", "git-web", "zone-a", d.plain, 16, "active"),
+		fleet.Backend("git-1", "git-web", "zone-a", d.plainAddr, 16, "active"),
 	}
 	for _, r := range records {
-		if err := fleet.Post("http://"+d.platform+"/control/publish", r); err != nil {
+		if err := fleet.Post("http://"+d.platformAddr+"/control/publish", r); err != nil {
 			return err
 		}
 	}
@@ -135,15 +135,15 @@
 func (d *demo) startHosts() error {
 	var list []platform.Host
 	for _, h := range [][2]string{{"a1", "zone-a"}, {"a2", "zone-a"}, {"b1", "zone-b"}} {
-		spec := fleet.NewHostSpec(h[0], h[1], d.platform)
+		spec := fleet.NewHostSpec(h[0], h[1], d.platformAddr)
 		d.hosts = append(d.hosts, spec)
 		list = append(list, platform.Host{ID: spec.ID, Zone: spec.Zone, Addr: spec.Peers, Role: "entry", State: "live"})
 	}
-	if err := fleet.Post("http://"+d.platform+"/control/hosts", list); err != nil {
+	if err := fleet.Post("http://"+d.platformAddr+"/control/hosts", list); err != nil {
 		return err
 	}
 	for _, spec := range d.hosts {
-		p, err := fleet.StartHost(filepath.Join(d.bin, "fireflyshiftd"), d.dir, spec)
+		p, err := fleet.StartHost(filepath.Join(d.binDir, "fireflyshiftd"), d.workDir, spec)
 		if err != nil {
 			return err
 		}
@@ -154,7 +154,7 @@
 			return fmt.Errorf("host %s is not ready", spec.ID)
 		}
 	}
-	time.Sleep(time.Second) // one exchange of summaries between the zones
+	time.Sleep(time.Second) // long enough for the zones to exchange their summaries once
 	return nil
 }
 
@@ -170,37 +170,37 @@
 			tier := []string{"review", "commit-hint", "push-check"}[i/3]
 			prompt := fmt.Sprintf("Review homework %d, please.", i)
 			a := school.With("Fireflyshift-Tier", tier).Chat(ctx, host.Callers, "notes", prompt, 40, true)
-			d.print(host.ID, "streamed review note", tier, a, a.Text == engine.Answer("user\n"+prompt+"\n", 40))
+			d.report(host.ID, "streamed review note", tier, a, a.Text == engine.Answer("user\n"+prompt+"\n", 40))
 		case 1:
 			a := cafe.With("Fireflyshift-Tier", "push-check").Call(ctx, "GET", host.Callers, "git-web", "price/fryer", nil)
-			d.print(host.ID, "plain price check", "push-check", a, true)
+			d.report(host.ID, "plain price check", "push-check", a, true)
 		case 2:
 			ticket := school.Ticket(ctx, host.Callers)
 			c := school.With("Fireflyshift-Idempotent", "no").With("Fireflyshift-Ticket", ticket).With("X-Operation", fmt.Sprintf("post-%d", i))
 			a := c.Call(ctx, "POST", host.Callers, "git-web", "grade-thread", []byte("well done"))
-			d.print(host.ID, "non-idempotent post", "push-check", a, true)
+			d.report(host.ID, "non-idempotent post", "push-check", a, true)
 			next := d.hosts[(i+1)%len(d.hosts)]
-			again := c.Call(ctx, "POST", next.Callers, "git-web", "grade-thread", []byte("well done"))
-			fmt.Printf("%-5s %-28s %-12s refused: %s, work: %s\n", next.ID, "the same post once more", "push-check", again.Kind, again.Work)
-			if again.Kind != "ticket_done" {
+			repeated := c.Call(ctx, "POST", next.Callers, "git-web", "grade-thread", []byte("well done"))
+			fmt.Printf("%-5s %-28s %-12s refused: %s, work: %s\n", next.ID, "the same post once more", "push-check", repeated.Kind, repeated.Work)
+			if repeated.Kind != "ticket_done" {
 				d.failures++
 			}
 		}
 	}
 }
 
-func (d *demo) print(host, what, tier string, a fleet.Answer, right bool) {
+func (d *demo) report(host, what, tier string, a fleet.Answer, correct bool) {
 	fmt.Printf("%-5s %-28s %-12s %-10s %12s %10s  %d %s\n", host, what, tier, a.Backend, a.FirstToken.Round(time.Millisecond/10),
 		a.Took.Round(time.Millisecond/10), a.Status, a.Kind)
-	if !a.OK() || !right {
+	if !a.OK() || !correct {
 		d.failures++
-		fmt.Printf("      bad answer: %v %q\n", a.Err, a.Text)
+		fmt.Printf("      wrong response: %v %q\n", a.Err, a.Text)
 	}
 }
 
-// checkRuns asks the stand-ins how often each request ran.
+// checkRuns checks with the stand-ins that no request ran more than once.
 func (d *demo) checkRuns() error {
-	addrs := []string{d.plain}
+	addrs := []string{d.plainAddr}
 	for _, a := range d.engines {
 		addrs = append(addrs, a)
 	}
@@ -228,12 +228,12 @@
 	return nil
 }
 
-func (d *demo) status() error {
+func (d *demo) printStatus() error {
 	args := []string{"status"}
 	for _, h := range d.hosts {
 		args = append(args, "--host", h.Admin)
 	}
-	out, err := exec.Command(filepath.Join(d.bin, "fireflyctl"), args...).CombinedOutput()
+	out, err := exec.Command(filepath.Join(d.binDir, "fireflyctl"), args...).CombinedOutput()
 	fmt.Printf("\n$ fireflyctl status\n%s", out)
 	return err
 }
--- a/cmd/fireflyctl/main.go
+++ b/cmd/fireflyctl/main.go
@@ -1,4 +1,5 @@
-// Command fireflyctl is the operators' tool. It reads hosts and files; it changes nothing.
+// Command fireflyctl is the operators' command-line tool. It reads the status of hosts and checks files; it is
+// read-only.
 package main
 
 import (
@@ -12,48 +13,48 @@
 	"fireflyshift/internal/ctl"
 )
 
-type global struct {
+type globalOptions struct {
 	JSON  bool     `long:"json" description:"print JSON for scripts"`
-	Hosts []string `long:"host" env:"FIREFLYCTL_HOSTS" env-delim:"," description:"admin address of a host, IP:PORT; once for each"`
+	Hosts []string `long:"host" env:"FIREFLYCTL_HOSTS" env-delim:"," description:"admin address of a host, IP:PORT; repeat for each host"`
 }
 
-func (g *global) tool() *ctl.Tool {
+func (g *globalOptions) tool() *ctl.Tool {
 	return &ctl.Tool{Out: os.Stdout, Err: os.Stderr, JSON: g.JSON, Hosts: g.Hosts}
 }
 
 type checkCommand struct {
-	global *global
+	global *globalOptions
 	exit   *int
 	Args   struct {
 		Files []string `positional-arg-name:"file"`
 	} `positional-args:"yes"`
 }
 
-// Execute checks files offline.
+// Execute checks the given files offline.
 func (c *checkCommand) Execute([]string) error {
 	*c.exit = c.global.tool().Check(c.Args.Files)
 	return nil
 }
 
 type statusCommand struct {
-	global *global
+	global *globalOptions
 	exit   *int
 }
 
-// Execute shows the hosts.
+// Execute prints the status of the hosts.
 func (c *statusCommand) Execute([]string) error {
 	*c.exit = c.global.tool().Status(context.Background())
 	return nil
 }
 
 type watchCommand struct {
-	global   *global
+	global   *globalOptions
 	exit     *int
 	Revision uint64        `long:"revision" description:"the revision to wait for; 0 waits until all hosts agree"`
 	Timeout  time.Duration `long:"timeout" default:"30s"`
 }
 
-// Execute waits for a revision.
+// Execute waits until a revision is active on all reachable hosts.
 func (c *watchCommand) Execute([]string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -62,21 +63,21 @@
 }
 
 type explainCommand struct {
-	global *global
+	global *globalOptions
 	exit   *int
 	Args   struct {
 		ID string `positional-arg-name:"request-id" required:"yes"`
 	} `positional-args:"yes"`
 }
 
-// Execute shows the way of a request.
+// Execute prints a request's trace.
 func (c *explainCommand) Execute([]string) error {
 	*c.exit = c.global.tool().Explain(context.Background(), c.Args.ID)
 	return nil
 }
 
 func main() {
-	var g global
+	var g globalOptions
 	exit := ctl.ExitOK
 	p := flags.NewParser(&g, flags.Default)
 	add := func(name, short string, c any) {
--- a/cmd/fireflyshiftd/main.go
+++ b/cmd/fireflyshiftd/main.go
@@ -1,5 +1,6 @@
-// Command fireflyshiftd is the daemon: one process on every entry host. With --settings it serves the
-// project's own interface; on the users' platform it takes the settings file that the platform names.
+// Command fireflyshiftd is the daemon that runs as one process on every entry host. With --settings it serves the
+// project's own interface. With --platform it serves the users' platform and reads the settings file named by the
+// environment variable platform.SettingsEnv.
 package main
 
 import (
@@ -30,7 +31,7 @@
 type options struct {
 	Settings string `short:"c" long:"settings" description:"INI file with this host's settings"`
 	Platform bool   `long:"platform" description:"serve the users' platform, with the settings file that the environment names"`
-	Check    bool   `long:"check-settings" description:"check the file, print what is wrong, and end"`
+	Check    bool   `long:"check-settings" description:"check the settings file, print any errors, and exit"`
 }
 
 func main() {
@@ -45,33 +46,33 @@
 	case opt.Platform:
 		runPlatform(opt)
 	case opt.Settings != "":
-		runOwn(opt)
+		runStandalone(opt)
 	default:
 		fmt.Fprintln(os.Stderr, "give --settings FILE, or --platform")
 		os.Exit(exitUsage)
 	}
 }
 
-func runOwn(opt options) {
+func runStandalone(opt options) {
 	set, err := settings.Load(opt.Settings)
-	refuse(err)
+	exitOnSettingsError(err)
 	if opt.Check {
 		fmt.Printf("%s: settings are good\n", opt.Settings)
 		return
 	}
 	metrics := telemetry.NewMetrics()
 	log, flush := telemetry.NewLogger(os.Stderr, set.Log.Level, set.Log.JSON, metrics)
-	go ignoreHangups(log, hangups())
-	ctx, hard := signals()
-	stopped(log, flush, daemon.Run(ctx, hard, set, log, metrics))
+	go ignoreHangups(log, notifyHangup())
+	ctx, hard := shutdownContexts()
+	exitAfterRun(log, flush, daemon.Run(ctx, hard, set, log, metrics))
 }
 
 func runPlatform(opt options) {
-	ctx, _ := signals()
-	reload := hangups()
+	ctx, _ := shutdownContexts()
+	reload := notifyHangup()
 	path := os.Getenv(platform.SettingsEnv)
 	set, err := platform.LoadSettings(path)
-	refuse(err)
+	exitOnSettingsError(err)
 	if opt.Check {
 		fmt.Printf("%s: settings are good\n", path)
 		return
@@ -82,11 +83,11 @@
 	store := platform.NewStore(set.Store, upstream.Transport(), telemetry.ComponentLogger(log, "store"))
 	err = node.Run(ctx, set, node.Dependencies{Store: store, HeaderCodec: platform.HeaderCodec{}, Reload: reload,
 		Load: func() (*node.Settings, error) { return platform.LoadSettings(path) }}, log, metrics)
-	stopped(log, flush, err)
+	exitAfterRun(log, flush, err)
 }
 
-// hangups passes SIGHUP on, which tells that the settings file has changed.
-func hangups() <-chan struct{} {
+// notifyHangup returns a channel that receives after a SIGHUP, the signal to reload the settings file.
+func notifyHangup() <-chan struct{} {
 	out := make(chan struct{}, 1)
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, syscall.SIGHUP)
@@ -94,29 +95,30 @@
 		for range ch {
 			select {
 			case out <- struct{}{}:
-			default: // one is waiting, and will read the same file
+			default: // a pending notification will reload the same file
 			}
 		}
 	}()
 	return out
 }
 
-// ignoreHangups guards requests against the end of a terminal or of a session.
+// ignoreHangups keeps SIGHUP, which is also sent at the end of a terminal session, from ending the process and its
+// requests.
 func ignoreHangups(log zerolog.Logger, hangups <-chan struct{}) {
 	for range hangups {
 		log.Info().Msg("SIGHUP is ignored. Replace the host to apply new settings.")
 	}
 }
 
-func refuse(err error) {
+func exitOnSettingsError(err error) {
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(exitSettings)
 	}
 }
 
-// stopped writes the last lines out and ends the process with the code that an error asks for.
-func stopped(log zerolog.Logger, flush func(), err error) {
+// exitAfterRun logs err, flushes the log, and exits with exitFailed if err is not nil.
+func exitAfterRun(log zerolog.Logger, flush func(), err error) {
 	if err != nil {
 		log.Error().Err(err).Msg("Stopped with an error.")
 	}
@@ -126,17 +128,17 @@
 	}
 }
 
-// signals returns a context that ends at the first SIGTERM or SIGINT, and one at the second.
-func signals() (soft, hard context.Context) {
-	soft, endSoft := context.WithCancel(context.Background())
-	hard, endHard := context.WithCancel(context.Background())
+// shutdownContexts returns a context that is canceled at the first SIGTERM or SIGINT, and one at the second.
+func shutdownContexts() (soft, hard context.Context) {
+	soft, cancelSoft := context.WithCancel(context.Background())
+	hard, cancelHard := context.WithCancel(context.Background())
 	ch := make(chan os.Signal, 2)
 	signal.Notify(ch, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		<-ch
-		endSoft()
+		cancelSoft()
 		<-ch
-		endHard()
+		cancelHard()
 	}()
 	return soft, hard
 }
--- a/cmd/measure/bound.go
+++ b/cmd/measure/bound.go
@@ -10,18 +10,18 @@
 )
 
 type boundCommand struct {
-	Weights map[string]float64 `long:"weight" value-name:"ROUTE:WEIGHT" description:"what an answer on a route is worth (default 1)"`
-	BySize  bool               `long:"by-size" description:"weigh requests by their tokens too"`
-	Late    float64            `long:"late" default:"0.3" description:"what a late answer is worth against one in time"`
+	Weights map[string]float64 `long:"weight" value-name:"ROUTE:WEIGHT" description:"weight of a response on a route (default 1)"`
+	BySize  bool               `long:"by-size" description:"weight requests by their size in tokens too"`
+	Late    float64            `long:"late" default:"0.3" description:"value of a late response relative to one in time"`
 	Window  time.Duration      `long:"window" default:"2s" description:"length of the rows by time"`
 	JSON    string             `long:"json" description:"write the result to this file"`
-	Plot    string             `long:"plot" description:"draw it over time, to a file that ends in .svg or .png"`
+	Plot    string             `long:"plot" description:"plot the result over time to this file (.svg or .png)"`
 	Args    struct {
-		Logs []string `positional-arg-name:"LOG" required:"1" description:"logs of the hosts, each as written, or merged with the host's name before each line"`
+		Logs []string `positional-arg-name:"LOG" required:"1" description:"unmodified logs of the hosts, or a merged log with the host's name before each line"`
 	} `positional-args:"yes"`
 }
 
-// Execute tells what a fleet could have served, from its hosts' logs.
+// Execute computes from the hosts' logs what the fleet could have served.
 func (c *boundCommand) Execute([]string) error {
 	logs := bound.NewLogs()
 	for _, path := range c.Args.Logs {
@@ -30,7 +30,7 @@
 		}
 	}
 	if len(logs.Requests) == 0 {
-		return trace.NotFound("no request has ended in these logs; give the standard output of fireflyshiftd --platform")
+		return trace.NotFound("the logs contain no ended request; give the standard output of fireflyshiftd --platform")
 	}
 	res := bound.Compute(logs, bound.Options{Weights: c.Weights, BySize: c.BySize, LateShare: c.Late, Window: c.Window})
 	res.Table(os.Stdout)
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -14,7 +14,7 @@
 type common struct {
 	Bin    string        `long:"bin" default:"bin" description:"folder with the built programs"`
 	Length time.Duration `long:"length" default:"8s" description:"length of each single run"`
-	// Threads is a function so that it takes effect where it is parsed.
+	// Threads is a function so that the parser sets measure.Threads while it parses the option.
 	Threads func(int) `long:"threads" description:"processors of each host (default 2)"`
 }
 
@@ -25,7 +25,7 @@
 	Rates []float64 `long:"rate" default:"200" default:"1000" default:"2000" default:"4000" default:"6000"`
 }
 
-// Execute compares calls through a host with direct ones.
+// Execute compares the latency of calls through a host with that of direct calls.
 func (c *overheadCommand) Execute([]string) error {
 	return measure.Overhead(os.Stdout, c.Bin, c.Rates, c.Length)
 }
@@ -34,7 +34,7 @@
 	common
 }
 
-// Execute measures memory per request.
+// Execute measures a host's memory per request.
 func (c *memoryCommand) Execute([]string) error {
 	return measure.MemoryPerRequest(os.Stdout, c.Bin, []int{250, 500, 1000, 2000})
 }
@@ -59,7 +59,7 @@
 	Only   string   `long:"only" choice:"quick" choice:"loads" choice:"seeds" choice:"faults" choice:"untuned" description:"one plan of the full table"`
 }
 
-// Execute compares policies.
+// Execute compares the scheduling policies with each other and with the bound.
 func (c *policyCommand) Execute([]string) error {
 	plans := map[string]measure.Plan{"quick": measure.Quick, "loads": measure.Loads, "seeds": measure.Seeds, "faults": measure.Faults, "untuned": measure.Untuned}
 	chosen := []measure.Plan{measure.Quick}
@@ -87,8 +87,8 @@
 	add("overhead", "latency that a host adds to a direct call", &overheadCommand{common: common{Threads: setThreads}})
 	add("memory", "memory per waiting request and open stream", &memoryCommand{common{Threads: setThreads}})
 	add("capacity", "slopes of the capacity page", &capacityCommand{common: common{Threads: setThreads}})
-	add("policy", "policies against each other and the bound", &policyCommand{common: common{Threads: setThreads}})
-	add("bound", "what a fleet could have served, from its hosts' logs", &boundCommand{})
+	add("policy", "comparison of the policies with each other and with the bound", &policyCommand{common: common{Threads: setThreads}})
+	add("bound", "upper bound on what a fleet could have served, from its hosts' logs", &boundCommand{})
 	if _, err := p.Parse(); err != nil {
 		if flags.WroteHelp(err) {
 			return
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the small stand-ins for what is outside the system: the platform, model
-// engines and plain services. It is for the demo, the tests and the measurements, not for use.
+// Command standin runs stand-ins for the systems outside this project: the platform, model engines and plain services.
+// It is only for the demo, tests and measurements.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	Listen string `long:"listen" required:"true"`
 }
 
-// Execute serves the platform.
+// Execute serves a stand-in for the platform.
 func (c *platformCommand) Execute([]string) error { return serve(c.Listen, platform.New().Handler()) }
 
 type engineCommand struct {
@@ -29,7 +29,7 @@
 	Batch  int           `long:"batch" default:"8"`
 }
 
-// Execute serves engines.
+// Execute serves one stand-in engine at each address.
 func (c *engineCommand) Execute([]string) error {
 	errs := make(chan error, len(c.Listen))
 	for _, addr := range c.Listen {
@@ -46,7 +46,7 @@
 	Work   time.Duration `long:"work" default:"5ms"`
 }
 
-// Execute serves a plain service.
+// Execute serves a stand-in for a plain service.
 func (c *plainCommand) Execute([]string) error { return serve(c.Listen, plain.New(c.Work).Handler()) }
 
 func serve(addr string, h http.Handler) error {
