--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -3,12 +3,12 @@
 // mutant replaces one piece of source, usually to remove a guard. The requirement is the number of the project
 // requirement that the guard protects, or a topic.
 type mutant struct {
-	name    string
+	name        string
 	requirement string
-	file    string
-	old     string
-	new     string
-	tests   []string // arguments of go test
+	file        string
+	old         string
+	new         string
+	tests       []string // arguments of go test
 }
 
 var (
@@ -17,17 +17,17 @@
 	schedTests  = []string{"./internal/sched", "-rapid.shrinktime=1s"}
 	routerTests = []string{"./internal/router", "-rapid.shrinktime=1s"}
 	// platformFormatTests run only the tests of the platform's formats, which need no processes or sockets.
-	platformFormatTests    = []string{"./platform", "-run", "DecodeServer|Registration"}
-	quarantineTests = []string{"./internal/quarantine", "-rapid.shrinktime=1s"}
-	suspectTests    = []string{"./internal/router", "-run", "Deadly|Suspects|Quarantin|OnlyEnds|LeavingEngine|LapsedEngine|CutAddUp|Rack"}
-	announcementTests       = []string{"./internal/router", "-run", "Leaving|Away|UnlikeTimes"}
+	platformFormatTests = []string{"./platform", "-run", "DecodeServer|Registration"}
+	quarantineTests     = []string{"./internal/quarantine", "-rapid.shrinktime=1s"}
+	suspectTests        = []string{"./internal/router", "-run", "Deadly|Suspects|Quarantin|OnlyEnds|LeavingEngine|LapsedEngine|CutAddUp|Rack"}
+	announcementTests   = []string{"./internal/router", "-run", "Leaving|Away|UnlikeTimes"}
 	coreSuspectTests    = []string{"./internal/core", "-run", "Deadly|FoundOut"}
-	coldTests       = []string{"./internal/router", "-run", "Cold|BackAtOnce|CutOffRush", "-rapid.shrinktime=1s"}
-	evacuationTests = []string{"./internal/router", "-run", "Evacu", "-rapid.shrinktime=1s"}
-	failingTests    = []string{"./internal/router", "-run", "Failing|OlderRuns|MakeASuspect|FleetOfSuspects|WhatFails"}
-	eraTests        = []string{"./internal/router", "-run", "Era|Copy|Lost|Promises"}
-	quotaTests      = []string{"./internal/router", "-run", "Quota|Owner|SumsName"}
-	limitTests      = []string{"./internal/limit", "-rapid.shrinktime=1s"}
+	coldTests           = []string{"./internal/router", "-run", "Cold|BackAtOnce|CutOffRush", "-rapid.shrinktime=1s"}
+	evacuationTests     = []string{"./internal/router", "-run", "Evacu", "-rapid.shrinktime=1s"}
+	failingTests        = []string{"./internal/router", "-run", "Failing|OlderRuns|MakeASuspect|FleetOfSuspects|WhatFails"}
+	eraTests            = []string{"./internal/router", "-run", "Era|Copy|Lost|Promises"}
+	quotaTests          = []string{"./internal/router", "-run", "Quota|Owner|SumsName"}
+	limitTests          = []string{"./internal/limit", "-rapid.shrinktime=1s"}
 )
 
 func platformTests(run string) []string { return []string{"./platform", "-run", run} }
