--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -14,7 +14,7 @@
 
 func inEra(era, number uint64) routing.Revision { return routing.Revision{Era: era, Number: number} }
 
-// servers are registrations at a revision.
+// servers returns registrations at a revision.
 func servers(at routing.Revision, ids ...string) routing.Changes {
 	var c routing.Changes
 	for _, id := range ids {
@@ -25,7 +25,7 @@
 	return c
 }
 
-// listing is what a reader of the store posts.
+// listing is the update that a reader of the store posts for a complete listing.
 func listing(asOf routing.Revision, c routing.Changes) Update {
 	return Update{FromStore: true, Full: true, AsOf: asOf, Changes: c}
 }
@@ -39,8 +39,8 @@
 	return ok
 }
 
-// The store comes back thirty revisions older. What it says from then on must be taken, though the numbers are lower than
-// those that were known; a peer that has not heard of it must not bring the lost ones back.
+// The store is restored thirty revisions back. Its changes must be applied from then on, though their numbers are lower than
+// known ones. A peer that does not know of this must not restore what was lost.
 func TestLaterEraGoesFirst(t *testing.T) {
 	r := newStandalone(t, "a", "b") // at 10, as of 50
 	r.Reduce(12*time.Second, listing(inEra(2, 20), servers(inEra(2, 10), "a", "b")))
@@ -57,8 +57,8 @@
 	require.Equal(t, inEra(2, 22), r.updates.completeTo)
 }
 
-// A host has heard that a server leaves; the copy is older and says that it is ready, as does what comes later of the same
-// start. A server that the host knew to have left is listed in the copy too.
+// A host knows that a server is leaving, while the older copy lists it as ready, as does a later registration of the same
+// start. A server that the host knows to have left is listed in the copy too.
 func TestOlderCopyIsNoEvidence(t *testing.T) {
 	r := newStandalone(t, "leaves", "left", "stays")
 	drain := changeOf("leaves", 60, false)
@@ -71,11 +71,11 @@
 	require.False(t, usable(r, "left"))
 	r.Reduce(14*time.Second, Update{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 31), Changes: servers(inEra(1, 31), "leaves", "left")})
 	require.False(t, usable(r, "leaves"))
-	require.True(t, usable(r, "left"), "it lives, as it has written anew")
+	require.True(t, usable(r, "left"), "it is alive, as it has registered again")
 }
 
-// A server has joined in the seconds that the store has lost. It is used on, as it lives and writes again; one that does not
-// within the time that the operators state is gone.
+// A server has joined in the seconds that the store has lost. It stays in use, as it is alive and registers again; one that does
+// not within lostBackendTTL is removed.
 func TestLostServersHaveTimeToWriteAgain(t *testing.T) {
 	r := newStandalone(t, "old")
 	register(r, time.Second, changeOf("lives", 51, false))
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// A host that the store refuses hears of the era by its peers' beats and asks them, also where the copy lists nobody. What it
-// is told lacks the servers that the copy lacks, and they have their time there too.
+// A host that the store refuses learns of the era from its peers' heartbeats and pulls, even if the copy lists no server. The
+// update lacks the servers that the copy lacks, and they are kept for lostBackendTTL there too.
 func TestPeersHearOfAnEra(t *testing.T) {
 	reader, refused := newStandalone(t, "a"), newStandalone(t, "a")
 	reader.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{}))
@@ -131,8 +131,8 @@
 	require.False(t, usable(refused, "a"))
 }
 
-// A configuration of before the copy stays in force until a later one comes: its keys, routes and quotas were taken away
-// on purpose.
+// A configuration from before the restore stays in force until a later one arrives: keys, routes and quotas that the older copy
+// still has were removed on purpose.
 func TestConfigurationOutlivesAnOlderCopy(t *testing.T) {
 	r := newStandalone(t, "a")
 	r.Reduce(time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Config: &routing.Config{Version: 9}}})
@@ -142,8 +142,8 @@
 	require.EqualValues(t, 11, r.version())
 }
 
-// One host of each zone hears of the era from the store, which refuses the others. They hear of it in beats within a second and a
-// half, before they would compare what they hold.
+// One host of each zone learns of the era from the store, which refuses the others. They learn of it from heartbeats within a
+// second and a half, before they would pull because of a different digest.
 func TestBeatsTellTheEra(t *testing.T) {
 	z := newZones(t, 2, 12, 4)
 	for _, h := range []*zoneHost{z.hosts[0], z.hosts[12]} {
@@ -152,10 +152,10 @@
 	pulls := map[string]bool{}
 	z.onPull = func(from string, p Pull) { pulls[from] = pulls[from] || p.Revision != (routing.Revision{}) }
 	z.run(1500*time.Millisecond, 0)
-	require.Len(t, pulls, 22, "all others ask for what has come since")
+	require.Len(t, pulls, 22, "all others pull the changes since their revision")
 }
 
-// What the era costs in each beat: nothing in the first one.
+// The era adds few bytes to each heartbeat, and none in the first era.
 func TestEraIsCheapInBeats(t *testing.T) {
 	b := &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: 1, ConfigVersion: 1, Revision: 4711, Digest: 7}
 	first := proto.Size(b)
--- a/internal/router/evacuations_test.go
+++ b/internal/router/evacuations_test.go
@@ -21,7 +21,7 @@
 	return n
 }
 
-// Operators evacuate a zone while a request runs there. Its second try must not go there, nor one that is silent move there.
+// Operators evacuate a zone while a request runs there. Neither its retry nor a new request may go there.
 func TestEvacuatedZoneGetsNoSecondTry(t *testing.T) {
 	r := newStandalone(t, "a", "b", "c")
 	for i, id := range []string{"a", "b", "c"} {
@@ -35,7 +35,7 @@
 	second := dispatchOf(t, r.Reduce(4*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
 	require.Equal(t, "c", second.Backend.ID)
 	_, refused := findEffect[GiveUp](r.Reduce(5*time.Second, DispatchEnded{ID: 1, Outcome: Broken, Fault: true}))
-	require.True(t, refused, "it has run, and nobody is left")
+	require.True(t, refused, "it may have run, and no server is left")
 	require.Equal(t, "c", dispatchOf(t, submitted(r, 2, 6*time.Second)).Backend.ID)
 	require.Equal(t, "evacuated", r.View().Backends[0].State)
 	joins := changeOf("d", 70, false)
@@ -53,12 +53,12 @@
 	require.Equal(t, "z0", dispatchOf(t, submitted(r, 4, 10*time.Second)).Backend.Zone)
 }
 
-// An owner offers a place at a moment at which it has not heard that its zone is evacuated.
+// An owner offers a slot before it has learned that its zone is evacuated.
 func TestOffersOfAnEvacuatedZoneAreNotUsed(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
-	question, owner := z.requestSlot(asker)
-	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
+	request, owner := z.requestSlot(asker)
+	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, request}))
 	require.NotNil(t, offers[0].Place)
 	asker.r.Reduce(z.now, evacuationStarted("z0", rev(70)))
 	out := asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
@@ -67,8 +67,8 @@
 	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
 
-// The store tells two hosts of one zone only; it refuses the others, and some start after that. All of a large fleet heed the
-// request within a second and a half, with every tenth datagram lost, and its end.
+// The store delivers an evacuation to two hosts of one zone only; it refuses the others, and one starts after that. All hosts of
+// a large fleet apply it within a second and a half with every tenth datagram lost, and its end too.
 func TestEvacuationsReachAllHosts(t *testing.T) {
 	z := newZones(t, 3, 17, 5)
 	z.drops = func(string, string, *gossippb.Packet) bool { return z.rng.IntN(10) == 0 }
@@ -92,7 +92,7 @@
 	}
 }
 
-// Zone mates hear of it from each other alone.
+// Zone peers learn of an evacuation from each other alone.
 func TestZoneMatesTellEvacuations(t *testing.T) {
 	z := newZone(t, 20, 5)
 	z.post(z.hosts[3], evacuationStarted("z0", rev(70)))
@@ -102,7 +102,8 @@
 	}
 }
 
-// Words come in any order; a listing that is complete ends what it lacks, and a host that was away learns so from a peer.
+// Changes arrive in any order. A complete listing ends the evacuations that it lacks, and a host that missed this learns it from
+// a peer.
 func TestEvacuationsFollowTheStoresOrder(t *testing.T) {
 	r := newStandalone(t, "a")
 	r.Reduce(time.Second, evacuationEnded("z0", rev(71)))
@@ -123,11 +124,11 @@
 	peer.Reduce(3*time.Second, r.Snapshot(Since{}))
 	require.False(t, peer.evacuated("z0"))
 	require.Equal(t, r.digest(), peer.digest())
-	require.Equal(t, r.digest(), newStandalone(t, "a").digest(), "a host that starts later need not ask")
+	require.Equal(t, r.digest(), newStandalone(t, "a").digest(), "a host that starts later need not pull")
 }
 
-// The store comes back from a copy that is older than the request. Operators write it again; until then a host that knew of it
-// holds to it, though not for good.
+// The store is restored from a copy made before the evacuation. Until operators write it again, a host that knew of it keeps
+// it, though only for a limited time.
 func TestEvacuationHoldsAgainstAnOlderCopy(t *testing.T) {
 	copyOf := func(r *Router, at time.Duration) {
 		r.Reduce(at, Update{FromStore: true, Full: true, AsOf: routing.Revision{Era: 1, Number: 40}, Changes: routing.Changes{
@@ -147,7 +148,7 @@
 	require.False(t, forgotten.evacuated("z0"))
 }
 
-// A zone is taken back: its backend servers may have turned cold meanwhile, and idle as they are they would get everything.
+// When an evacuation ends, the zone's backend servers may have turned cold, and being idle they would get all requests.
 func TestServersOfAZoneTakenBackCountAsCold(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	for _, h := range f.hosts {
@@ -166,7 +167,7 @@
 	require.LessOrEqual(t, float64(most), testColdBound)
 }
 
-// What another host says of zones is bounded, whoever says it.
+// The number of zones remembered from other hosts' reports is limited.
 func TestEvacuationsOfOthersAreBounded(t *testing.T) {
 	r := newStandalone(t, "a")
 	for i := range 3 * maxEvacuations {
@@ -176,5 +177,5 @@
 	require.LessOrEqual(t, len(r.evacuations), maxEvacuations)
 	r.Reduce(2*time.Second, evacuationEnded("0", rev(900)))
 	r.Reduce(2*time.Second, evacuationStarted("z0", rev(901)))
-	require.True(t, r.evacuated("z0"), "those that were taken back make room")
+	require.True(t, r.evacuated("z0"), "evacuations that ended make room")
 }
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -14,8 +14,8 @@
 	"fireflyshift/internal/routing"
 )
 
-// Another version of the daemon, or anything else on the port, sends datagrams. The host must go on:
-// no panic, no invariant broken, and its own requests still placed.
+// Another version of the daemon, or any other program, sends datagrams to the port. The host must continue:
+// no panic, no violated invariant, and its own requests are still scheduled.
 func FuzzBeat(f *testing.F) {
 	add := func(b *gossippb.Beat) {
 		data, err := proto.Marshal(b)
@@ -51,8 +51,8 @@
 	})
 }
 
-// The same for the other datagrams: a question with a rank that is no number, a report of more than was ever
-// there, an owner that is nobody. No count goes below zero, no choice fails.
+// The same for other datagrams: a slot request whose rank is not a number, a report of more requests than there were,
+// an unknown owner. No count becomes negative, and no choice fails.
 func FuzzPacket(f *testing.F) {
 	hash := newBackend(routing.Backend{ID: "e0"}).hash
 	for _, p := range []*gossippb.Packet{
@@ -100,7 +100,7 @@
 	})
 }
 
-// The same for what a peer answers to a question for news. A configuration never goes back by it.
+// The same for the answer to a pull. It never brings an older configuration back.
 func FuzzPeerNews(f *testing.F) {
 	f.Add([]byte(`{"Config":{"Version":7},"Backends":[{"ID":"e0","Revision":99,"Removed":true}],"After":1,"AsOf":100}`))
 	f.Add([]byte(`{"Config":{"Version":0,"Workspaces":[{"Name":"w","Rate":-1}]},"Full":true,"Backends":[{}]}`))
--- a/internal/router/main_test.go
+++ b/internal/router/main_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// Requests is how many requests are in the host's hands.
+// Requests returns the number of open requests at the host.
 func (r *Router) Requests() int { return len(r.requests) }
 
-// The verdict of the randomised tests is the same every run, unless a seed is given.
+// TestMain fixes the seed of the randomised tests, unless one is given, so that each run gives the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -10,7 +10,7 @@
 
 const (
 	// minHostTimeout is how long a host's load still counts after its last heartbeat. By then its requests have
-	// most likely ended, as the connections of a dead host are closed. It allows for several lost heartbeats.
+	// most likely ended, as the connections of a dead host are closed. It covers three heartbeat intervals and some loss.
 	minHostTimeout = 800 * time.Millisecond
 	// hostTimeoutIntervals is the same in heartbeat intervals, for fleets in which these are long.
 	hostTimeoutIntervals = 3.3
@@ -145,22 +145,22 @@
 	if b.Host == r.opt.Host || b.Host == "" {
 		return
 	}
-	r.applyPushedChanges(b.Changes) // each change has its own revision, so order does not matter
+	r.applyPushedChanges(b.Changes) // even from an overtaken heartbeat: each change has its own revision, and small links delay pushes
 	m, known := r.members.byHost[b.Host]
 	if known && b.Incarnation == m.incarnation && b.Seq <= m.seq {
 		return
 	}
-	var previous uint64
+	var previousIncarnation uint64
 	if known && b.Incarnation != m.incarnation {
 		if b.Incarnation == m.previousIncarnation {
 			return
 		}
-		previous = m.incarnation
+		previousIncarnation = m.incarnation
 		r.removeMember(m)
 		known = false
 	}
 	if !known {
-		m = &member{host: b.Host, quotaKey: b.Host + "/" + formatBase36(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, previousIncarnation: previous,
+		m = &member{host: b.Host, quotaKey: b.Host + "/" + formatBase36(b.Incarnation), zone: b.Zone, incarnation: b.Incarnation, previousIncarnation: previousIncarnation,
 			spent: map[string]uint64{}, startedAt: r.now - time.Duration(b.AgeMs)*time.Millisecond}
 		r.members.byHost[b.Host] = m
 		r.recordZone(b.Host, b.Zone)
--- a/internal/router/news_test.go
+++ b/internal/router/news_test.go
@@ -17,9 +17,9 @@
 		Backend: routing.Backend{ID: id, Addr: "a", Zone: "z0", Service: "m", Slots: 5, Model: true}}
 }
 
-// A hundred hosts hear at once that a peer knows a newer configuration, and ask for it. With 1,000
-// backend servers each answer was a quarter of a megabyte, small hosts' links were full for seconds,
-// and requests went by the old configuration long after it should have been in force everywhere.
+// A hundred hosts learn at once that a peer has a newer configuration, and pull it. With 1,000
+// backend servers each full answer was a quarter of a megabyte; the links of small hosts were saturated for seconds,
+// and requests followed the old configuration long after the new one should have been in force everywhere.
 func TestPullAsksOnlyForWhatIsMissing(t *testing.T) {
 	b := newFixture(t, 1000) // complete as of revision 50
 	peer := newFixture(t, 1000)
@@ -42,26 +42,26 @@
 	require.Nil(t, b.r.Snapshot(Since{Revision: rev(90), Version: 9}).Config)
 }
 
-// A host hears a pushed change but misses the one before it. It must not take itself for complete up to
-// the later one, or it would never ask for what it missed.
+// A host gets a pushed change but missed the one before it. It must not consider itself complete up to
+// the later one, or it would never pull what it missed.
 func TestMissedChangeIsAskedFor(t *testing.T) {
 	b := newFixture(t, 1)
 	b.post(Update{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
 	require.Equal(t, rev(50), b.r.updates.completeTo)
 }
 
-// A backend server was removed while this host did not run. A peer that has not heard of it still names
-// it: the host must not send callers to an address that nobody has, or that another service has.
+// A backend server was removed while this host was down, and a peer that does not know this still reports
+// it. The host must not send requests to an address that is unused, or that another service has now.
 func TestOldRegistrationFromAPeerIsNotTaken(t *testing.T) {
 	b := newFixture(t, 1)
 	b.post(Update{Revision: rev(40), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("ghost", 40, false)}}})
 	require.Nil(t, b.r.backends["ghost"])
 }
 
-// A zone's sum to another names thousands of backend servers where there are many zones; relayed to all
-// hosts four times a second it took most of their links. So a zone tells of its own backend servers only,
-// with what hosts of other zones carry there: left out, these looked idle to the others, which all sent
-// there. The hearer takes its own requests off, or it would count them twice.
+// When a zone's summary contained the backend servers of all zones, thousands of them relayed to all hosts four times a second
+// took most of their bandwidth. So a zone reports only its own backend servers, including the load
+// from other zones: without that they looked idle to the others, which all sent there.
+// The receiver subtracts its own requests, or it would count them twice.
 func TestEachZoneTellsOfItsOwnServers(t *testing.T) {
 	withServers := func() *fixture {
 		b := newFixture(t, 0)
@@ -96,11 +96,11 @@
 	sum.Speaker = "10.0.0.9"
 	receiver.r.opt.Host = "10.0.1.1"
 	receiver.post(RelayReceived{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
-	require.Equal(t, 5, receiver.r.backends["s0"].inFlight(), "its own one is in the sum already")
+	require.Equal(t, 5, receiver.r.backends["s0"].inFlight(), "its own request is included in the summary")
 }
 
-// The hosts of a large fleet start together. The first readers do not yet know how many there are and
-// open long watches; their zone mates, who rely on them, took them for cut off every few seconds, and
+// The hosts of a large fleet start together. The first readers do not know yet how many there are and
+// open long watches. Their zone peers, which rely on them, considered them cut off from the store every few seconds, and
 // all read the store at once.
 func TestReaderWatchesShorterOnceOthersRelyOnIt(t *testing.T) {
 	b := newFixture(t, 0)
@@ -114,9 +114,9 @@
 }
 
 // Seventeen engines drain at once while others are replaced one after the other. The push of the seventeen
-// was too large, and went unsent; a later push of one change reached the other hosts, which took themselves
-// for up to date by its revision and asked for the rest three seconds later: callers were sent to engines
-// that had said so long that they leave.
+// was too large and was not sent. A later push of one change reached the other hosts, which considered themselves
+// up to date by its revision and pulled the rest only three seconds later: meanwhile requests went to engines
+// that were known to be draining.
 func TestManyChangesAtOnceReachTheZone(t *testing.T) {
 	reader := newFixture(t, 0)
 	for i := 0; i <= maxFullMesh; i++ {
@@ -143,8 +143,8 @@
 	}
 }
 
-// The same where datagrams are lost: a host hears a later change and not those before it, and a peer that
-// knows them. It asks within a quarter of a second, for all that it may have missed.
+// The same with lost datagrams: a host gets a later change but not those before it, and a heartbeat of a peer that
+// has them. It pulls all that it may have missed within a quarter of a second.
 func TestGapBeforeAHeardChangeIsAskedFor(t *testing.T) {
 	b := newFixture(t, 1) // complete as of revision 50
 	late, err := json.Marshal([]routing.BackendChange{changeOf("later", 90, false)})
@@ -160,10 +160,10 @@
 	require.Equal(t, rev(50), asked[0].Revision)
 }
 
-// rev is a revision of the store's first era.
+// rev returns a revision of the store's first era.
 func rev(number uint64) routing.Revision { return routing.Revision{Number: number} }
 
-// Guards against changes of backend servers that are lost as a later beat overtakes the one that brings them.
+// Guards against changes of backend servers that are lost because a later heartbeat overtakes the one that carries them.
 func TestChangesInAnOvertakenBeatAreTaken(t *testing.T) {
 	b := newFixture(t, 0)
 	data, err := json.Marshal([]routing.BackendChange{changeOf("late", 60, false)})
--- a/internal/router/regions_test.go
+++ b/internal/router/regions_test.go
@@ -9,8 +9,8 @@
 	"fireflyshift/internal/routing"
 )
 
-// Route and workspace each name the only regions that may serve them. A request goes to no backend server elsewhere, and where
-// they name no common one it is refused as not run, with a time to come back.
+// Route and workspace may each list the only regions that may serve a request. It goes to no backend server elsewhere, and if
+// the lists have no region in common it is refused as not run, with a time to retry after.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	r := newStandalone(t, "a", "b", "c")
 	r.opt.Regions = map[string]string{"z0": "north", "z1": "north", "z2": "south"}
@@ -51,7 +51,7 @@
 	require.Equal(t, only("refused"), goes(regions("south"), nil), "its backend servers are gone")
 }
 
-// A configuration names a region that no zone is in: one line in the log, each time it changes.
+// A configuration names a region that no zone belongs to: this is logged once each time the configuration changes.
 func TestUnknownRegionsAreNoted(t *testing.T) {
 	r := newStandalone(t, "a")
 	r.opt.Regions = map[string]string{"z0": "north"}
--- a/internal/router/restart_test.go
+++ b/internal/router/restart_test.go
@@ -10,7 +10,7 @@
 	"fireflyshift/internal/routing"
 )
 
-// startOf is a registration of one start of e0.
+// startOf returns a registration of one start of e0.
 func startOf(start, revision uint64) routing.BackendChange {
 	ch := changeOf("e0", revision, false)
 	ch.Start = start
@@ -21,12 +21,12 @@
 	return routing.BackendChange{Backend: routing.Backend{ID: "e0"}, Revision: rev(revision), Removed: true, Foreign: true}
 }
 
-// receive posts changes as a peer would receive them.
+// receive posts changes as if pulled from a peer.
 func (b *fixture) receive(changes ...routing.BackendChange) []Effect {
 	return b.post(Update{Changes: routing.Changes{Backends: changes}})
 }
 
-// serves tells whether e0 would get a request now.
+// serves reports whether e0 may get a request now.
 func (b *fixture) serves() bool {
 	e0, known := b.r.backends["e0"]
 	if !known {
@@ -36,9 +36,9 @@
 	return ok
 }
 
-// An engine crashes behind a cut and starts again under the same ID. It was slow, failed, and had been
-// called replaced; its callers wait for answers that never come. The new start has done none of this: it
-// gets work at once, and what waits for the earlier one ends as broken without harm to the new one.
+// An engine crashes behind a network partition and starts again under the same ID. It was slow, had failed and was
+// marked as replaced, and its callers wait for answers that never come. None of this applies to the new start: it
+// gets requests at once, and those sent to the earlier one end as broken without counting against the new one.
 func TestNextStartOfAnEngineIsUnknown(t *testing.T) {
 	b := newFixture(t, 0)
 	b.receive(startOf(1000, 60))
@@ -68,7 +68,7 @@
 }
 
 // A write of the earlier start reaches the store after the first one of the new start, or a peer that was
-// cut off tells of it. It must not hide the new start, nor bring an engine back that has left.
+// cut off reports it. It must not hide the new start, nor restore an engine that has left.
 func TestEarlierStartNeverComesBack(t *testing.T) {
 	b := newFixture(t, 0)
 	b.receive(startOf(2000, 60))
@@ -93,11 +93,11 @@
 	require.True(t, b.serves(), "a new start")
 }
 
-// Another program writes where an engine was registered. Its address may be anything: the engine gets no
-// more work, not even as long as a lapsed one would, until it registers again.
+// Another program overwrites an engine's registration. The address may be anything, so the engine gets
+// no more requests until it registers again; there is no grace period as for a lapsed registration.
 func TestForeignRegistrationNamesNoServer(t *testing.T) {
 	b := newFixture(t, 1)
-	b.post(StoreStatus{OK: false}) // so that a lapse would be doubted
+	b.post(StoreStatus{OK: false}) // so that a lapse would get the grace period
 	b.receive(foreignWrite(60))
 	require.False(t, b.serves())
 	b.receive(changeOf("e0", 61, false))
@@ -105,12 +105,12 @@
 
 	b.receive(startOf(1000, 62))
 	b.receive(startOf(0, 63))
-	require.False(t, b.serves(), "the engine told its start before")
+	require.False(t, b.serves(), "the engine has registered with a start before")
 	b.receive(startOf(1000, 64))
 	require.True(t, b.serves())
 }
 
-// What is registered in a service of model engines without models is no model engine.
+// A backend server registered without a model in a service of model engines gets no requests.
 func TestServerOfAnotherKindGetsNoWork(t *testing.T) {
 	b := newFixture(t, 0)
 	plain := changeOf("e0", 60, false)
@@ -124,9 +124,9 @@
 	require.Equal(t, "e1", engine)
 }
 
-// Two starts of an engine, a late write of the earlier one, a foreign one and what follows reach hosts in
-// every order, each twice. All hosts end with the same belief, and digests that agree, or they would ask
-// each other for news for ever.
+// Two starts of an engine, a late write of the earlier one, a foreign write and what follows reach hosts in
+// every order, each twice. All hosts must end in the same state with equal digests, or they would pull from
+// each other forever.
 func TestEveryOrderOfStarts(t *testing.T) {
 	cases := map[string]struct {
 		changes []routing.BackendChange
@@ -144,7 +144,7 @@
 		digests := map[uint64]bool{}
 		permute(len(play.changes), func(order []int) {
 			b := newFixture(t, 0)
-			b.now += lapseWindow // so that nothing is taken for a lapse
+			b.now += lapseWindow // so that no removal counts as a lapse
 			for _, i := range append(append([]int(nil), order...), order...) {
 				b.receive(play.changes[i])
 			}
@@ -154,7 +154,7 @@
 			}
 			digests[b.r.digest()] = true
 			e0 := b.r.backends["e0"]
-			require.Same(t, e0, b.r.byHash[hashOf(e0.Backend)], "%s: %v: others' words of it are found", name, order)
+			require.Same(t, e0, b.r.byHash[hashOf(e0.Backend)], "%s: %v: other hosts' reports are matched", name, order)
 		})
 		require.Len(t, digests, 1, name)
 	}
--- a/internal/router/said_test.go
+++ b/internal/router/said_test.go
@@ -11,18 +11,18 @@
 	"fireflyshift/internal/routing"
 )
 
-// register tells a host that a backend server register, as the store's next change.
+// register delivers a registration to a host as the store's next change.
 func register(r *Router, at time.Duration, ch routing.BackendChange) {
 	r.Reduce(at, Update{FromStore: true, After: rev(ch.Revision.Number - 1), AsOf: ch.Revision, Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
 }
 
-// submitted is what a request without digest meets at a host.
+// submitted submits a request without a digest and returns the effects.
 func submitted(r *Router, id uint64, at time.Duration) []Effect {
 	return r.Reduce(at, Submit{ID: id, Route: fragile, Deadline: at + time.Minute})
 }
 
-// A backend server says in an answer that it leaves, and its registration says afterwards that it is ready: the store took
-// that write first and is read later. The word of the server holds for that start of it; the next one is used.
+// A backend server announces in an answer that it is leaving, and a registration read afterwards says that it is ready, as the
+// store took that write earlier. The announcement holds for that start of the server; the next start is used.
 func TestLeavingHoldsForThatStart(t *testing.T) {
 	r := newStandalone(t, "a")
 	ready := func(revision, start uint64) routing.BackendChange {
@@ -43,8 +43,8 @@
 	dispatchOf(t, submitted(r, 71, 8*time.Second))
 }
 
-// A registration that lapsed around an outage of the store is used a little longer, as its server mostly lives. Not so where
-// the server had said that it leaves.
+// A registration that lapsed around an outage of the store has a grace period, as its server is mostly alive. Not so if
+// the server has announced that it is leaving.
 func TestLeavingIsNotInDoubt(t *testing.T) {
 	r := newStandalone(t, "a")
 	r.Reduce(2*time.Second, BackendAnnouncement{ID: "a", Leaving: true})
@@ -55,9 +55,9 @@
 	require.True(t, refused)
 }
 
-// One host has heard that an engine leaves. Hosts that have not would go on sending there until it ends, and their callers' streams
-// would end with it: all hear of it within a second, in fleets that talk directly and in those with owners, with every
-// tenth datagram lost.
+// One host has learned that an engine is leaving. The others would continue to send requests there, and those streams would end
+// with the engine. All learn of it within a second and a half, in fleets with a full mesh of heartbeats and in those with
+// owners, with every tenth datagram lost.
 func TestOthersHearOfLeaving(t *testing.T) {
 	for _, c := range []struct{ zones, hosts int }{{3, 3}, {6, 20}} {
 		t.Run(fmt.Sprintf("%d zones of %d", c.zones, c.hosts), func(t *testing.T) {
@@ -77,15 +77,15 @@
 	}
 }
 
-// The owner of an engine offers a place there; the asker has just heard from the engine itself that it leaves, or wants nothing
-// for a time. The place goes back, and nothing is sent.
+// The owner of an engine offers a slot there when the engine has just announced to the asking host that it is leaving or wants
+// no requests for a time. The slot is released, and nothing is sent.
 func TestOfferOfALeavingEngineIsGivenBack(t *testing.T) {
 	for name, announcement := range map[string]BackendAnnouncement{"leaving": {Leaving: true}, "away": {HoldOff: time.Minute}} {
 		t.Run(name, func(t *testing.T) {
 			z := newZone(t, 20, 23)
 			asker := z.hosts[0]
-			question, owner := z.requestSlot(asker)
-			offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
+			request, owner := z.requestSlot(asker)
+			offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, request}))
 			place := offers[0].Place
 			require.NotNil(t, place)
 			announcement.ID = asker.r.byHash[place.Backend].ID
@@ -99,15 +99,15 @@
 	}
 }
 
-// A backend server turns a host away for two seconds. The host offers it nothing for so long; its callers are told to come
-// back when it may be asked again, where nobody else is there. Then it gets one request at a time until it has
+// A backend server asks a host to hold off for two seconds. The host sends it nothing for that time, and if there is no other
+// server, its callers are told to retry after the hold-off. Then the server gets one request at a time until it has
 // answered one, as all hosts that it turned away come back.
 func TestTimeToStayAway(t *testing.T) {
 	r := newStandalone(t, "a")
 	at := 2 * time.Second
 	dispatchOf(t, submitted(r, 1, at))
 	r.Reduce(at, BackendAnnouncement{ID: "a", HoldOff: 2 * time.Second})
-	r.Reduce(at, BackendAnnouncement{ID: "a", HoldOff: time.Millisecond}) // of a request that was turned away before
+	r.Reduce(at, BackendAnnouncement{ID: "a", HoldOff: time.Millisecond}) // for a request that was rejected earlier
 	out := r.Reduce(at, DispatchEnded{ID: 1, Outcome: Rejected})
 	refuse, ok := findEffect[Refuse](out)
 	require.True(t, ok)
@@ -122,7 +122,7 @@
 	require.LessOrEqual(t, r.backends["a"].holdOffUntil, later+maxHoldOff+maxHoldOffJitter)
 }
 
-// Hosts that were turned away at the same moment come back at unlike ones.
+// Hosts that were turned away at the same moment come back at different times.
 func TestHostsComeBackAtUnlikeTimes(t *testing.T) {
 	z := newZones(t, 3, 3, 1)
 	moments := map[time.Duration]bool{}
--- a/internal/router/scale_test.go
+++ b/internal/router/scale_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// perHost is what a host sends a second in a fleet of four zones with five engines a host and three requests a second and host.
+// perHost returns what a host sends per second in a fleet of four zones, at five engines per host and three requests per second
+// and host.
 func perHost(t *testing.T, hosts int) (datagrams, bytes float64) {
 	const zones, seconds = 4, 3
 	z := newZones(t, zones, hosts, 5*hosts)
@@ -21,8 +22,8 @@
 	return float64(z.datagrams) / all, float64(z.bytes) / all
 }
 
-// Guards against control that grows with the square of the fleet: at the same load a host, what a host sends grows slower than the
-// root of the hosts, and stays under the operators' 18 KB a second.
+// Guards against control traffic that grows with the square of the fleet: at the same load per host, what a host sends grows
+// slower than the square root of the number of hosts, and stays below the operators' 18 KB a second.
 func TestControlGrowsSlowerThanTheRootOfTheFleet(t *testing.T) {
 	t.Parallel()
 	small, large := 12, 50
@@ -35,8 +36,7 @@
 	require.Less(t, b1, 18_000.0)
 }
 
-// BenchmarkFleet is what a second of a host costs in a fleet of four zones, ten engines a host.
-
+// BenchmarkFleet measures the cost of a second of a host in a fleet of four zones with ten engines per host.
 func BenchmarkFleet(b *testing.B) {
 	for _, hosts := range []int{12, 25, 75} {
 		b.Run(fmt.Sprintf("4 zones of %d", hosts), func(b *testing.B) {
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -12,13 +12,13 @@
 	"fireflyshift/internal/routing"
 )
 
-// firstReads are when hosts of a fleet that starts at once read the store, by their own clocks.
+// firstReads returns when the hosts of a fleet that starts at once first read the store, by their own clocks.
 func firstReads(hosts int, seeds []string) []time.Duration {
 	var out []time.Duration
 	for i := 1; i <= hosts; i++ {
 		r := New(Options{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seed: uint64(i), Seeds: seeds})
 		for now := time.Duration(0); ; now += time.Millisecond {
-			if reads(r.Reduce(now, Tick{})) {
+			if startsReading(r.Reduce(now, Tick{})) {
 				out = append(out, now)
 				break
 			}
@@ -27,7 +27,7 @@
 	return out
 }
 
-func reads(list []Effect) bool {
+func startsReading(list []Effect) bool {
 	for _, e := range list {
 		if rs, ok := e.(ReadStore); ok && rs.On {
 			return true
@@ -36,9 +36,9 @@
 	return false
 }
 
-// All hosts lose power together and start again while callers wait. They waited a quarter of a second for
-// peers that might know the configuration, all of them, and refused some 150 requests of the fleet
-// meanwhile. The seeds, whom everybody greets, read at once; where they are down, few others do.
+// All hosts lose power together and start again while callers wait. When all of them waited a quarter of a second for
+// peers with a configuration, the fleet refused some 150 requests
+// meanwhile. The seeds, which all hosts contact, read at once; if they are down, a few others do.
 func TestSomebodyReadsTheStoreAtOnce(t *testing.T) {
 	at := firstReads(9, []string{"10.0.0.2", "10.0.0.5"})
 	require.Zero(t, at[1])
@@ -52,10 +52,10 @@
 		}
 	}
 	require.Positive(t, soon)
-	require.Less(t, soon, 300/10, "hundreds of hosts must not all list the store before they hear each other")
+	require.Less(t, soon, 300/10, "hundreds of hosts must not all list the store before they know each other")
 }
 
-// heartbeatTargetsOf collects the hosts that beats go to.
+// heartbeatTargetsOf returns the hosts that heartbeats are sent to.
 func heartbeatTargetsOf(list []Effect) []string {
 	var out []string
 	for _, b := range effectsOf[SendHeartbeat](list) {
@@ -64,8 +64,8 @@
 	return out
 }
 
-// A host starts and greets a peer that knows the configuration. The peer answers with a beat at once, as
-// the newcomer asks for news only when it hears that there are any: at the usual period of beats, callers
+// A host starts and contacts a peer that has the configuration. It pulls only after a heartbeat has shown that there
+// is something newer. The peer must send that at once: at its regular interval, callers
 // would be refused up to a tenth of a second longer.
 func TestNewcomerHearsAtOnce(t *testing.T) {
 	b := newFixture(t, 1)
@@ -76,7 +76,7 @@
 	require.Contains(t, heartbeatTargetsOf(b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1}})), "10.0.0.3")
 }
 
-// The first of the starting hosts has read the configuration. The others, which wait for it, hear so at
+// The first of the starting hosts has read the configuration. The others wait for it and must learn so at
 // once.
 func TestFirstConfigurationIsToldAtOnce(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1, Seeds: []string{"10.0.0.1"}})
@@ -87,9 +87,9 @@
 	require.Contains(t, heartbeatTargetsOf(r.Reduce(now, n)), "10.0.0.2")
 }
 
-// All hosts of a large fleet start together while a workspace asks for many times its quota. A host that
-// took callers before it knew how many others there are let through its part of a few, and the fleet more
-// than the operators' bound. It waits until it has heard the others.
+// All hosts of a large fleet start together while a workspace sends many times its quota. Hosts that
+// accepted requests before they knew how many others there are admitted too large a share each, and the fleet more
+// than the operators' bound. So a host waits until it knows the others.
 func TestStartInALargeFleetWaitsForTheOthers(t *testing.T) {
 	inForce := func(list []Effect) bool { return len(effectsOf[ConfigActivated](list)) > 0 }
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
@@ -107,8 +107,8 @@
 	require.True(t, inForce(small.Reduce(20*time.Millisecond, n)))
 }
 
-// Zones whose sums a starting host has not heard yet count as large as its own: the quotas are parted by the
-// number of hosts. Later, a zone of which nothing is heard is gone.
+// Zones without a summary yet count as large as the host's own while it starts, as quotas are divided by the
+// number of hosts. Later, a zone without a summary does not count.
 func TestUnheardZonesCountWhileStarting(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
 	for i := 2; i <= 10; i++ {
@@ -125,15 +125,15 @@
 	require.Equal(t, 10+30, r.hostCount())
 }
 
-// startingFleet is a fleet of some zones whose hosts all start together and read a store that answers a listing after a while.
+// startingFleet simulates a fleet of some zones whose hosts all start together and read a store that takes listTime to list.
 type startingFleet struct {
 	*zone
 	update   Update
 	listTime time.Duration
-	// refuses are the hosts that the store refuses.
-	refuses map[string]bool
+	// refused are the hosts that the store refuses.
+	refused map[string]bool
 	reading map[string]bool
-	// listings are how many were begun.
+	// listings counts the listings that were begun.
 	listings int
 	due      []startingEvent
 }
@@ -146,7 +146,7 @@
 
 func startFleet(t testing.TB, zones, hosts int) *startingFleet {
 	f := &startingFleet{zone: &zone{t: t, rng: rand.New(rand.NewPCG(1, 2)), byIP: map[string]*zoneHost{}, streams: map[string]int{}, runs: map[uint64]*zoneRun{}},
-		listTime: 300 * time.Millisecond, reading: map[string]bool{}, refuses: map[string]bool{},
+		listTime: 300 * time.Millisecond, reading: map[string]bool{}, refused: map[string]bool{},
 		update: Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1}}}}
 	for i := range zones * hosts {
 		h := &zoneHost{ip: fmt.Sprintf("10.0.%d.%d", i/hosts, i%hosts+1), zone: fmt.Sprintf("z%d", i/hosts), startedAt: time.Duration(f.rng.Int64N(int64(300 * time.Millisecond)))}
@@ -176,14 +176,14 @@
 func (f *startingFleet) list(h *zoneHost) {
 	f.listings++
 	f.due = append(f.due, startingEvent{f.now + f.listTime, h, func() Event {
-		if f.refuses[h.ip] {
+		if f.refused[h.ip] {
 			return StoreStatus{}
 		}
 		return f.update
 	}})
 }
 
-// advance lets time advance; those that the store serves hear from it each second, those that it refuses try again.
+// advance advances time. The store answers each reader every second, and refused readers retry as often.
 func (f *startingFleet) advance(d time.Duration) {
 	for end := f.now + d; f.now < end; {
 		f.run(zoneStep, 0)
@@ -196,7 +196,7 @@
 			ev := e.ev()
 			_, pulled := ev.(Update)
 			if pulled && ev.(Update).FromStore && !f.reading[e.host.ip] {
-				continue // the reading was stopped meanwhile
+				continue // reading was stopped meanwhile
 			}
 			f.post(e.host, ev)
 			if !f.reading[e.host.ip] || (pulled && !ev.(Update).FromStore) {
@@ -219,7 +219,8 @@
 	return n
 }
 
-// Guards against all hosts of a zone listing the store where it refuses the zone's readers: how many do must not grow with the zone.
+// Guards against all hosts of a zone listing the store when it refuses the zone's readers: the number of those that do must not
+// grow with the zone.
 func TestRefusedReadersAreReplacedByFew(t *testing.T) {
 	t.Parallel()
 	const zones = 3
@@ -228,7 +229,7 @@
 		f.advance(6 * time.Second)
 		require.Equal(t, zones*hosts, f.configured())
 		for ip, on := range f.reading {
-			f.refuses[ip] = on
+			f.refused[ip] = on
 		}
 		before := f.listings
 		f.advance(4 * time.Second)
@@ -243,7 +244,7 @@
 		}
 		return f.listings - before
 	}
-	const most = zones * readersPerZone * (readerGrowth + 1) // the readers and those who take over
+	const most = zones * readersPerZone * (readerGrowth + 1) // the readers and their replacements
 	require.LessOrEqual(t, listings(40), most)
 	require.LessOrEqual(t, listings(80), most)
 }
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -17,26 +17,26 @@
 
 const (
 	worldStep = 20 * time.Millisecond
-	storeRead = 2 // steps that a change takes from the store to a host
+	storeRead = 2 // steps until a change in the store reaches a host
 )
 
-// world runs many hosts against a store, backend servers and each other, with faults as events.
+// world simulates many hosts, a store and backend servers, with faults as events.
 type world struct {
 	t        *rapid.T
 	now      time.Duration
 	nextID   uint64
 	hosts    []*worldHost
 	messages []message
-	// truth is what the store holds; log is its history.
-	config   *routing.Config
-	latest   uint64 // version of the configuration that was sent last
-	backends map[string]routing.BackendChange
-	// evacuations are the latest words on zones, for good: what a listing shows are those that have not ended.
+	// config, backends, evacuations and revision are the content of the store.
+	config           *routing.Config
+	publishedVersion uint64 // version of the configuration that was published last
+	backends         map[string]routing.BackendChange
+	// evacuations hold the latest state of each zone; a listing shows only those that have not ended.
 	evacuations map[string]routing.Evacuation
 	revision    uint64
 	storeDown   bool
-	// era is how often the store has come back from copy; since is what was written after it was taken, and again what is
-	// still to be written anew.
+	// era counts how often the store was restored from copy. sinceCopy are the writes after the copy was taken, and lostWrites
+	// those that a restore has lost and that are still to be repeated.
 	era        uint64
 	copy       *storeCopy
 	sinceCopy  []func()
@@ -57,10 +57,10 @@
 	reading          bool
 	version          uint64
 	inc              uint64
-	announcedLeaving map[string]bool // servers that have told it in an answer that they leave
+	announcedLeaving map[string]bool // backend servers that have announced to it in an answer that they are leaving
 }
 
-// storeCopy is what the store held at a moment.
+// storeCopy is the content of the store at some moment.
 type storeCopy struct {
 	config      *routing.Config
 	backends    map[string]routing.BackendChange
@@ -68,14 +68,14 @@
 	revision    uint64
 }
 
-// copyStore takes a copy that the store may come back from.
+// copyStore takes a copy that the store may be restored from.
 func (w *world) copyStore() {
 	w.copy = &storeCopy{w.config, maps.Clone(w.backends), maps.Clone(w.evacuations), w.revision}
 	w.sinceCopy = nil
 }
 
-// restoreStore brings the store back from its copy. What was written since is written again, in order, a little later; so are
-// those writes that still waited.
+// restoreStore restores the store from its copy. The writes since then are repeated in order a little later, and before those
+// that were still to be repeated.
 func (w *world) restoreStore() {
 	if w.copy == nil {
 		return
@@ -86,11 +86,11 @@
 	w.lostWrites = append(slices.Clone(w.sinceCopy), w.lostWrites...)
 	w.sinceCopy = nil
 	for _, h := range w.hosts {
-		h.listed = false // its watch is told that the history is gone
+		h.listed = false // its watch is rejected because the history is gone
 	}
 }
 
-// write changes what the store holds; it comes again if the store loses it.
+// write changes the content of the store. The write is repeated if the store loses it.
 func (w *world) write(f func()) {
 	if len(w.lostWrites) > 0 {
 		w.lostWrites = append(w.lostWrites, f) // the operator and the servers write in order
@@ -100,7 +100,7 @@
 	w.sinceCopy = append(w.sinceCopy, f)
 }
 
-// repeatLostWrites writes some of what the store had lost.
+// repeatLostWrites repeats at most so many of the writes that the store has lost.
 func (w *world) repeatLostWrites(most int) {
 	for ; most > 0 && len(w.lostWrites) > 0; most-- {
 		f := w.lostWrites[0]
@@ -112,12 +112,12 @@
 
 func (w *world) rev() routing.Revision { return routing.Revision{Era: w.era, Number: w.revision} }
 
-// call is one request as its caller and the backend servers see it.
+// call is one request as seen by its caller and the backend servers.
 type call struct {
 	id       uint64
 	host     *worldHost
 	route    *routing.Route
-	mayRun   int // dispatches that were not proved not to have run
+	mayRun   int // dispatches not proved to have not run
 	sends    int
 	current  string
 	finished bool
@@ -132,7 +132,7 @@
 }
 
 func newWorld(t *rapid.T, zones, perZone int) *world {
-	w := &world{t: t, latest: 2, evacuations: map[string]routing.Evacuation{}, backends: map[string]routing.BackendChange{}, calls: map[uint64]*call{}, revision: 100}
+	w := &world{t: t, publishedVersion: 2, evacuations: map[string]routing.Evacuation{}, backends: map[string]routing.BackendChange{}, calls: map[uint64]*call{}, revision: 100}
 	w.publish()
 	for i := 0; i < 6; i++ {
 		w.register(fmt.Sprintf("b%d", i), false)
@@ -164,8 +164,8 @@
 }
 
 func (w *world) publish() {
-	w.latest += 1 + w.latest%3
-	v := w.latest
+	w.publishedVersion += 1 + w.publishedVersion%3
+	v := w.publishedVersion
 	w.write(func() { w.put(v) })
 }
 
@@ -201,7 +201,7 @@
 	})
 }
 
-// post runs one event on a host and its effects.
+// post applies an event to a host and carries out the effects.
 func (w *world) post(h *worldHost, ev Event) {
 	if w.now < h.frozen {
 		return
@@ -242,7 +242,7 @@
 	}
 }
 
-// sendDatagrams sends a datagram. Of twenty, one is lost, one comes twice and one late.
+// sendDatagrams sends a datagram to each host. Of twenty, one is lost, one is duplicated and one delayed.
 func (w *world) sendDatagrams(h *worldHost, hosts []string, p *gossippb.Packet) {
 	data, err := proto.Marshal(p)
 	require.NoError(w.t, err)
@@ -260,7 +260,7 @@
 	}
 }
 
-// eventOf is what a host hears in a datagram.
+// eventOf returns the event that a datagram causes at its receiver.
 func eventOf(from string, p *gossippb.Packet) Event {
 	switch {
 	case p.Ask != nil:
@@ -289,7 +289,7 @@
 	b := h.r.backends[e.Backend.ID]
 	require.False(w.t, b.Draining, "sent to a server that is known to drain")
 	require.False(w.t, h.r.evacuated(b.Zone), "sent to a zone that is known to be evacuated")
-	require.False(w.t, h.announcedLeaving[b.ID], "sent to a server that has told this host that it leaves")
+	require.False(w.t, h.announcedLeaving[b.ID], "sent to a server that has announced to this host that it is leaving")
 	if b.removed {
 		require.Less(w.t, w.now-b.removedAt, lapsedGracePeriod+worldStep, "sent to a server that is long gone")
 	}
@@ -329,7 +329,7 @@
 	w.post(h, Submit{ID: w.nextID, Route: route, Deadline: w.now + 3*time.Second, Rank: rapid.Float64Range(0, 2).Draw(w.t, "rank")})
 }
 
-// end ends one running dispatch in some way.
+// end ends one running dispatch with a random outcome.
 func (w *world) end() {
 	var open []uint64
 	for id, c := range w.calls {
@@ -360,7 +360,7 @@
 	w.post(c.host, DispatchEnded{ID: c.id, Outcome: o, Fault: true, First: time.Millisecond, Interval: time.Millisecond})
 }
 
-// step lets a little time pass: mail arrives, the store is read, hosts tick.
+// step advances time by one step: datagrams arrive, hosts read the store and tick.
 func (w *world) step() {
 	w.now += worldStep
 	rest := w.messages[:0]
@@ -484,7 +484,7 @@
 	}
 }
 
-// heal ends all faults; after a while every host must hold what the store holds.
+// heal ends all faults and checks that after a while every host has the content of the store.
 func (w *world) heal() {
 	w.storeDown = false
 	w.repeatLostWrites(len(w.lostWrites))
@@ -503,11 +503,11 @@
 		for id, ch := range w.backends {
 			b := h.r.backends[id]
 			if ch.Removed {
-				require.True(w.t, b == nil || b.removed, "%s still believes in %s", h.ip, id)
+				require.True(w.t, b == nil || b.removed, "%s still considers %s registered", h.ip, id)
 				continue
 			}
-			require.NotNil(w.t, b, "%s lacks %s", h.ip, id)
-			require.False(w.t, b.removed, "%s takes %s for gone", h.ip, id)
+			require.NotNil(w.t, b, "%s does not know %s", h.ip, id)
+			require.False(w.t, b.removed, "%s considers %s removed", h.ip, id)
 			require.Equal(w.t, ch.Draining, b.Draining, "%s of %s", id, h.ip)
 		}
 	}
@@ -534,16 +534,16 @@
 	w.heal()
 }
 
-// Hosts of a small fleet under kills, freezes, cuts, a store that is away or refuses some, servers
-// that drain, vanish and come back, and dispatches that end in every way. Whatever the order: what may
-// not be repeated runs once, "not run" is true, nobody is answered twice, a configuration never goes
+// Checks a small fleet under crashes, freezes, partitions, a store that is unavailable or refuses some hosts, backend servers
+// that drain, vanish and come back, and dispatches with every outcome. In any order of events, what may
+// not be repeated runs at most once, a refusal as not run is true, no request is answered twice, a configuration never goes
 // back, and after the faults all hosts agree with the store.
 func TestPromisesSmallFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runWorld(t, 3, 2) })
 }
 
-// The same for a fleet in which beats stay inside a zone and few hosts read the store: news reach the
-// others by their zone mates alone.
+// The same for a fleet in which heartbeats stay within a zone and few hosts read the store, so that the others get updates only
+// from their zone peers.
 func TestPromisesLargeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { runWorld(t, 3, 7) })
 }
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -19,8 +19,8 @@
 	zoneTick = 25 // steps between two ticks of a host
 )
 
-// zone runs the hosts of one availability zone of a large fleet in steps of a millisecond, which is also
-// what a datagram takes. Engines are simulated by how long a stream stays there.
+// zone simulates the hosts of one or more availability zones of a large fleet in steps of a millisecond, which is also
+// the latency of a datagram. An engine is simulated by how long each stream stays there.
 type zone struct {
 	t         testing.TB
 	now       time.Duration
@@ -29,29 +29,29 @@
 	hosts     []*zoneHost
 	byIP      map[string]*zoneHost
 	inTransit []zoneDatagram
-	streams   map[string]int // streams at each engine, in truth
+	streams   map[string]int // actual number at each engine
 	runs      map[uint64]*zoneRun
 	next      uint64
-	// sent are what all hosts sent by kind, in datagrams and bytes.
+	// datagrams and bytes count what all hosts have sent.
 	datagrams, bytes int
-	// originZone is the zone that all requests come to; empty for any.
+	// originZone is the zone that receives all requests; empty for any.
 	originZone string
-	// onPull hears of questions for news, if set.
+	// onPull, if set, is called for each pull.
 	onPull func(from string, p Pull)
-	// onReadStore hears of hosts that begin or cease to onReadStore the store, if set.
+	// onReadStore, if set, is called when a host starts or stops reading the store.
 	onReadStore func(h *zoneHost, e ReadStore)
-	// sends are the moments at which each engine was sent a request, where they are kept.
+	// sends are the times at which each engine was sent a request, if not nil.
 	sends map[string][]time.Duration
-	// breaks is the share of requests that an engine breaks off as they begin, and broken counts those.
+	// breaks is the fraction of requests that an engine breaks off at their start, and broken counts those.
 	breaks map[string]float64
 	broken map[string]int
 	ended  []zoneEnd
-	// unassigned are requests that end at once and for which there was no place, though their quota had room.
+	// unassigned counts requests submitted by submitFor that no engine had a slot for, though their quota had room.
 	unassigned int
-	// drops drops a datagram.
+	// drops, if set, reports whether a datagram is lost.
 	drops func(from, to string, p *gossippb.Packet) bool
 
-	// longestWait is the longest time from a request to its decision.
+	// longestWait is the longest time from a request to its decision, and overloads counts dispatches beyond an engine's limit.
 	longestWait                    time.Duration
 	dispatched, refused, overloads int
 }
@@ -59,7 +59,7 @@
 type zoneHost struct {
 	ip        string
 	zone      string
-	startedAt time.Duration // the start of its clock
+	startedAt time.Duration // start of its clock
 	r         *Router
 	dead      bool
 }
@@ -70,14 +70,14 @@
 	p        *gossippb.Packet
 }
 
-// zoneEnd is a request that ends with the next step.
+// zoneEnd is a request that ends in the next step.
 type zoneEnd struct {
 	host *zoneHost
 	id   uint64
 }
 
 type zoneRun struct {
-	// admitted is told that the request is sent, and ends it; nil where it stays at its engine for a while.
+	// admitted is called when the request is dispatched, and the request then ends; nil if it stays at its engine for a while.
 	admitted    func(host string)
 	host        *zoneHost
 	submittedAt time.Duration
@@ -86,11 +86,11 @@
 	breaks      bool
 }
 
-// newZone starts the hosts of a zone before engines of 4 slots, a third of which are four times slower, and
-// lets them hear each other.
+// newZone starts a zone with engines of 4 slots, a third of which are four times slower, and
+// runs it until the hosts know each other.
 func newZone(t testing.TB, hosts, engines int) *zone { return newZones(t, 1, hosts, engines) }
 
-// newZones starts several zones; the seeds are in the first.
+// newZones starts several zones, with the seeds in the first.
 func newZones(t testing.TB, zones, hosts, engines int) *zone {
 	z := &zone{t: t, rng: rand.New(rand.NewPCG(1, 2)), byIP: map[string]*zoneHost{}, streams: map[string]int{}, runs: map[uint64]*zoneRun{}}
 	n := Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 1,
@@ -125,7 +125,8 @@
 	require.Empty(z.t, h.r.Violations())
 }
 
-// submitFor submits a request of a workspace to any host, and tells once it is sent to an engine, where it ends at once.
+// submitFor submits a request of a workspace to any host, and calls admitted once it is dispatched to an engine, where it
+// ends at once.
 func (z *zone) submitFor(w *routing.Workspace, cost float64, admitted func(host string)) {
 	z.submitAt(z.hosts[z.rng.IntN(len(z.hosts))], w, cost, admitted)
 }
@@ -185,7 +186,7 @@
 	}
 }
 
-// length draws how long a stream stays at an engine: a mean of half a second, four times that at a slow one.
+// length draws how long a stream stays at an engine: half a second on average, four times that at a slow one.
 func (z *zone) length(engine string) time.Duration {
 	d := time.Duration(z.rng.ExpFloat64() * float64(400*time.Millisecond))
 	if slowEngine(engine) {
@@ -207,7 +208,7 @@
 	}
 }
 
-// run lets time pass while so many requests a second come.
+// run advances time by d at a rate of requests per second.
 func (z *zone) run(d time.Duration, perSecond int) {
 	for end := z.now + d; z.now < end; {
 		z.now += zoneStep
@@ -272,7 +273,7 @@
 	}
 }
 
-// submit sends one request to a host that lives.
+// submit sends one request to a host that is alive.
 func (z *zone) submit() {
 	h := z.hosts[z.rng.IntN(len(z.hosts))]
 	for h.dead || (z.originZone != "" && h.zone != z.originZone) {
@@ -283,13 +284,13 @@
 	z.post(h, Submit{ID: z.next, Route: urgentRoute, Rank: 0, PromptTok: 1000, OutputTok: 160, Deadline: z.now + 10*time.Second})
 }
 
-// owners are the hosts that own engines, by the first host's word.
+// owners returns the owners of engines as known to the first host.
 func (z *zone) owners() []string { return z.hosts[0].r.localShardOwners() }
 
-// Fifty hosts of a zone choose among fifty engines while these are nearly full. Each told every change to all
-// others, a thousand datagrams a second, and still all chose the few engines that looked free: streams waited
-// there while others stood idle. Owners count exactly: no engine gets more than it may hold, nearly none
-// while others have places, and what hosts send doesn't follow their number.
+// Fifty hosts of a zone share fifty engines that are nearly full. When each host sent every change to all
+// others, at a thousand datagrams a second, they still all chose the few engines that looked free, and streams waited
+// there while other engines were idle. Owners count exactly: no engine gets more than it may hold, nearly no request is refused
+// while there are slots, and the traffic per host does not grow with the number of hosts.
 func TestOwnersPlaceByExactCounts(t *testing.T) {
 	z := newZone(t, 50, 53)
 	z.run(3*time.Second, 250)
@@ -303,12 +304,12 @@
 	require.Less(t, z.refused, z.dispatched/100)
 	require.Less(t, perHost(z.datagrams), 150.0)
 	require.Less(t, perHost(z.bytes), 18_000.0)
-	require.LessOrEqual(t, z.longestWait, 8*zoneStep, "an answer of an owner or two")
+	require.LessOrEqual(t, z.longestWait, 8*zoneStep, "the time for the answers of an owner or two")
 }
 
-// A fleet of six zones starts, and its seeds are in one of them. The hosts of the others must soon know all
-// their zone mates: they part quotas by their number and engines by who they are. When they knew a few each, a
-// third of the streams in these zones were late, and a workspace ran over its quota.
+// A fleet of six zones starts with its seeds in one of them. The hosts of the others must soon know all
+// their zone peers, as quotas are divided by their number and engines by their identity. When they knew only a few, a
+// third of the streams in these zones were late, and a workspace exceeded its quota.
 func TestZonesWithoutSeedsFindEachOther(t *testing.T) {
 	z := newZones(t, 6, 20, 20)
 	for _, h := range z.hosts {
@@ -318,8 +319,8 @@
 	}
 }
 
-// A zone's engines are nearly full while another's are idle. Its hosts ask the owners there, who count all that
-// comes from anywhere: no engine gets more than it may hold, and nobody is refused.
+// A zone's engines are nearly full while another's are idle. Its hosts request slots from the owners there, which count the
+// requests of all zones: no engine gets more than it may hold, and nearly no request is refused.
 func TestBusyZoneOverflowsToOthers(t *testing.T) {
 	z := newZones(t, 3, 10, 10)
 	z.originZone = "z1"
@@ -335,17 +336,17 @@
 	require.Less(t, z.refused, z.dispatched/50)
 }
 
-// An owner loses power. Its zone mates ask it and hear nothing, and a caller would wait for the seconds until
-// it counts as dead. They decide alone after a moment, and stop asking it.
+// An owner loses power. Without a timeout its zone peers would wait for its answers until it counts as unreachable, which takes
+// seconds. They decide alone after a moment and stop asking it.
 func TestDeadOwnerDelaysNobody(t *testing.T) {
 	z := newZone(t, 20, 23)
 	owner := z.byIP[z.owners()[0]]
 	require.NotEqual(t, z.hosts[0], owner, "choose another seed")
 	owner.dead = true
-	asks := 0
+	slotRequests := 0
 	z.drops = func(_, to string, p *gossippb.Packet) bool {
 		if to == owner.ip && p.Ask != nil {
-			asks++
+			slotRequests++
 		}
 		return false
 	}
@@ -354,28 +355,28 @@
 	require.LessOrEqual(t, z.longestWait, maxSlotRequests*(ownerCallTimeout+zoneTick*zoneStep))
 	require.Positive(t, z.dispatched)
 	for id, run := range z.runs {
-		require.NotEmpty(t, run.engine, "request %d waits", id)
+		require.NotEmpty(t, run.engine, "request %d is waiting", id)
 	}
-	require.LessOrEqual(t, asks, 100, "each host asks it a few times at most before it is muted")
+	require.LessOrEqual(t, slotRequests, 100, "each host sends it a few requests at most before it stops asking")
 	require.NotContains(t, z.owners(), owner.ip)
 }
 
-// An owner is so busy that its answer comes when the asker has decided alone. The place counts as taken at the
-// owner, and would until the asker's next beat; on a heavy day its engines would look full. It goes back.
+// A busy owner's offer arrives after the asking host has decided alone. The slot counts as taken at the
+// owner and would until the next heartbeat, so that its engines would look full under heavy load. It is released at once.
 func TestLateOfferIsGivenBack(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
-	question, owner := z.requestSlot(asker)
-	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
+	request, owner := z.requestSlot(asker)
+	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, request}))
 	require.NotNil(t, offers[0].Place)
 	asker.r.Reduce(z.now+ownerCallTimeout, Tick{})
-	require.Positive(t, asker.r.Requests(), "placed by the asker itself")
+	require.Positive(t, asker.r.Requests(), "scheduled by the asking host itself")
 	out := asker.r.Reduce(z.now+2*ownerCallTimeout, SlotOfferReceived{owner, offers[0]})
 	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
 
-// Owners' words are a quarter of a second old, and say that all engines are full; several requests have ended
-// since. A caller must not be refused without a question.
+// The owners' reports are a quarter of a second old and show all engines as full, but several requests have ended
+// since. A request must not be refused without asking an owner.
 func TestOwnersAreAskedBeforeARefusal(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
@@ -385,8 +386,8 @@
 	z.requestSlot(asker)
 }
 
-// A host of a zone restarts. It has not heard what its zone mates carry; as an owner it would take busy engines
-// for idle and offer them to everybody.
+// A host restarts and does not know its zone peers' load yet. As an owner it would take busy engines
+// for idle and offer them to all hosts.
 func TestYoungHostOwnsNothing(t *testing.T) {
 	z := newZone(t, 20, 23)
 	owner := z.owners()[0]
@@ -408,7 +409,7 @@
 	}
 }
 
-// requestSlot submits a request to a host and returns what it asks of whom.
+// requestSlot submits requests to a host until it sends a slot request, and returns that and its addressee.
 func (z *zone) requestSlot(h *zoneHost) (*gossippb.Ask, string) {
 	for range 20 {
 		z.next++
@@ -422,7 +423,7 @@
 	return nil, ""
 }
 
-// releasesSlot tells whether a place at a backend server is returned.
+// releasesSlot reports whether the effects release a slot at a backend server.
 func releasesSlot(list []Effect, backend uint32) bool {
 	for _, rep := range reportsOf(list) {
 		if rep.Backend == backend && rep.Requests == -1 && rep.Unread == -1000 {
@@ -432,9 +433,9 @@
 	return false
 }
 
-// Answers of owners are lost, or come after the asker has decided alone. Each such place would count as taken
-// for as long as the asker lives, until the zone's engines look full and everybody is refused. Late ones are
-// given back at once, lost ones with the asker's next beat.
+// Owners' offers are lost, or arrive after the asking host has decided alone. If such slots counted as taken
+// for as long as that host lives, the zone's engines would finally look full and all requests be refused. Late ones are
+// released at once, lost ones with the host's next heartbeat.
 func TestPlacesThatAreNotUsedAreGivenBack(t *testing.T) {
 	z := newZone(t, 20, 23)
 	z.drops = func(_, _ string, p *gossippb.Packet) bool { return p.Beat == nil && z.rng.IntN(4) == 0 }
@@ -451,13 +452,13 @@
 	require.Zero(t, z.refused)
 }
 
-// A stream begins and ends. Its owner must hear so at once: with the next beat only, up to a second later, its
-// engines would look full on a heavy day, and callers be refused.
+// A stream begins and ends. Its owner must learn this at once: with the next heartbeat only, up to a second later, its
+// engines would look full under heavy load, and requests would be refused.
 func TestOwnerHearsOfEachEnd(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
-	question, owner := z.requestSlot(asker)
-	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
+	request, owner := z.requestSlot(asker)
+	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, request}))
 	asker.r.Reduce(z.now, SlotOfferReceived{owner, offers[0]})
 	b := z.byIP[owner].r.byHash[offers[0].Place.Backend]
 	require.Equal(t, 1, b.inFlight())
@@ -475,7 +476,7 @@
 	require.Equal(t, 12*time.Millisecond, b.interval)
 }
 
-// offersOf are the answers among effects.
+// offersOf returns the slot offers among effects.
 func offersOf(list []Effect) []*gossippb.Offer {
 	var out []*gossippb.Offer
 	for _, s := range effectsOf[Send](list) {
@@ -486,7 +487,7 @@
 	return out
 }
 
-// reportsOf are the reports among effects.
+// reportsOf returns the reports among effects.
 func reportsOf(list []Effect) []*gossippb.Report {
 	var out []*gossippb.Report
 	for _, s := range effectsOf[Send](list) {
@@ -497,8 +498,8 @@
 	return out
 }
 
-// An engine crashes. It looks idle, so that its owner offers it to every host of the zone, and each finds out
-// for itself. Two hosts that could not connect are believed; one may be cut off itself.
+// An engine crashes and looks idle, so its owner would offer it to every host of the zone until each has found out
+// for itself. Two hosts that cannot connect are enough evidence; a single one may be cut off itself.
 func TestOwnerBelievesTwoThatCannotConnect(t *testing.T) {
 	z := newZone(t, 20, 23)
 	owner := z.byIP[z.owners()[0]]
@@ -520,13 +521,13 @@
 	}
 }
 
-// A host has asked, and hears before the answer that the offered engine drains, which its owner has not
-// heard. Callers must not be sent there any more: the place goes back, and another engine is found.
+// After its slot request a host learns that the offered engine is draining, which the owner does not know
+// yet. Nothing may be sent there: the slot is released and another engine is chosen.
 func TestOfferOfADrainingEngineIsNotTaken(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
-	question, owner := z.requestSlot(asker)
-	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, question}))
+	request, owner := z.requestSlot(asker)
+	offers := offersOf(z.byIP[owner].r.Reduce(z.now, SlotRequestReceived{asker.ip, request}))
 	offered := asker.r.byHash[offers[0].Place.Backend]
 	ch := changeOf(offered.ID, 60, false)
 	ch.Draining = true
@@ -538,7 +539,7 @@
 	require.True(t, releasesSlot(out, offered.hash))
 }
 
-// BenchmarkZone is what a host of a zone of 50 hosts and 53 engines spends on each kind of event.
+// BenchmarkZone measures the cost of each kind of event at a host of a zone of 50 hosts and 53 engines.
 func BenchmarkZone(b *testing.B) {
 	z := newZone(b, 50, 53)
 	z.run(2*time.Second, 250)
@@ -574,7 +575,8 @@
 	run("tick", func(int) { now += zoneTick * zoneStep; owner.r.Reduce(now, Tick{}) })
 }
 
-// Guards against a backend server whose hosts disagree who owns it, as its shard is that of a name that it no longer has.
+// Guards against hosts that disagree on the owner of a backend server because its shard was computed from the hash of an
+// earlier start.
 func TestOwnerFollowsTheNameOfAServer(t *testing.T) {
 	z := newZone(t, 20, 60)
 	h := z.hosts[0].r
