--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -9,7 +9,7 @@
 	"fireflyshift/internal/routing"
 )
 
-// BenchmarkDecision is one decision with its end, among engines of which each holds some requests.
+// BenchmarkDecision measures one decision and its end, among engines that hold some requests each.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{12, 112, 1000} {
 		b.Run(fmt.Sprintf("%d engines", engines), func(b *testing.B) {
@@ -36,8 +36,7 @@
 	}
 }
 
-// BenchmarkOccupancy is one word of an owner on ten of a fleet's backend servers. It must not cost more with those that it does
-// not name.
+// BenchmarkOccupancy measures one owner's report on ten backend servers. Its cost must not grow with those not listed.
 func BenchmarkOccupancy(b *testing.B) {
 	for _, engines := range []int{120, 3000} {
 		b.Run(fmt.Sprintf("%d engines", engines), func(b *testing.B) {
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -11,7 +11,7 @@
 
 // A backend server that has just started handles only a few requests per second and crashes at a rate well above that, so
 // operators limit the rate of all hosts together. Only a few hosts, computed by every host alike, send to a cold backend server,
-// each with a fixed part of the rate. Hosts share no counters, so a network cut, a late message or a restart adds no requests.
+// each with a fixed share of the rate. Hosts share no counters, so a network cut, a late message or a restart adds no requests.
 
 const (
 	// maxColdSenders limits the hosts that send to a cold backend server.
@@ -98,7 +98,7 @@
 	}
 }
 
-// hostColdRate returns this host's part of the rate of a cold backend server, zero if it is not a sender.
+// hostColdRate returns this host's share of the rate of a cold backend server, zero if it is not a sender.
 func (r *Router) hostColdRate(b *backend) float64 {
 	bound, _ := r.coldRateLimit(b)
 	if bound <= 0 || r.now < minColdSenderAge || !r.exchangesHeartbeats(b.Zone) || r.noPeersSeen() {
@@ -158,6 +158,6 @@
 	if !b.cold(r.now) {
 		return
 	}
-	r.invariants.Check(r.coldTokenAvailable(b), "cold backend server %s gets more than this host's part of its rate", b.ID)
+	r.invariants.Check(r.coldTokenAvailable(b), "cold backend server %s gets more than this host's share of its rate", b.ID)
 	b.warming.tokens--
 }
--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -22,7 +22,7 @@
 
 var coldBounds = Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, ColdOverage: 1.5, ColdSlack: 5}
 
-// coldFleet is a fleet whose backend servers bear few requests after their start.
+// coldFleet is a fleet whose backend servers have a rate limit after their start.
 type coldFleet struct {
 	*zone
 	revision uint64
@@ -42,7 +42,7 @@
 	return f
 }
 
-// enginesReturn tells hosts that read the store that the engines of a zone have started again, all at once.
+// enginesReturn reports to the given store readers that all engines of a zone have just restarted.
 func (f *coldFleet) enginesReturn(zone int, readers ...*zoneHost) {
 	n := Update{FromStore: true, After: rev(f.revision)}
 	for i := zone * f.engines; i < (zone+1)*f.engines; i++ {
@@ -57,7 +57,7 @@
 	}
 }
 
-// zoneHosts are the hosts of one zone.
+// zoneHosts returns the hosts of one zone.
 func (f *coldFleet) zoneHosts(zone int) []*zoneHost {
 	per := 0
 	for _, h := range f.hosts {
@@ -68,7 +68,7 @@
 	return f.hosts[zone*per : (zone+1)*per]
 }
 
-// restartHosts kills all hosts and starts them again with what the store says.
+// restartHosts replaces the processes of hosts, with the store's present content.
 func (f *coldFleet) restartHosts(hosts []*zoneHost) {
 	all := Update{FromStore: true, Full: true, AsOf: rev(f.revision), Revision: rev(f.revision), Changes: routing.Changes{Config: f.config}}
 	for _, b := range f.hosts[0].r.allBackends() {
@@ -83,7 +83,7 @@
 	}
 }
 
-// maxSentPerSecond is the most requests that were sent to one of a zone's engines in a second since a moment, and sent all together.
+// maxSentPerSecond returns the most requests sent to one of a zone's engines within a second, and the total sent.
 func (f *coldFleet) maxSentPerSecond(zone int, since, until time.Duration) (most, sent int) {
 	for i := zone * f.engines; i < (zone+1)*f.engines; i++ {
 		var at []time.Duration
@@ -103,8 +103,8 @@
 	return most, sent
 }
 
-// Fifteen backend servers of sixty are back at once, idle, in a fleet that is under load: each was the best choice of all hosts
-// and got more than twice what it bears. Few hosts send there, and each a part of the rate.
+// 15 of 60 backend servers return at once, idle, while the fleet is under load. Each was the best choice of all hosts
+// and got more than twice the rate it can handle. Now only a few hosts send there, each at a share of the rate.
 func TestServersThatAreBackAtOnceAreNotRushed(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
@@ -113,14 +113,14 @@
 	f.run(testColdFor, 280)
 	most, sent := f.maxSentPerSecond(2, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdRate+maxColdSenders)
-	require.Greater(t, sent, 15, "they are of use while they are cold")
+	require.Greater(t, sent, 15, "they serve requests while cold")
 	f.run(2*time.Second, 280)
 	_, after := f.maxSentPerSecond(2, at+testColdFor, f.now)
-	require.Greater(t, after/2, sent/3, "a second, and no longer held back")
+	require.Greater(t, after/2, sent/3, "a second, once no longer limited")
 }
 
-// All hosts are killed in the moment in which a zone's backend servers are back. Each host that starts knows of no other and
-// would take the whole rate for itself.
+// All hosts crash when a zone's backend servers have just returned. Each restarted host knows no other and would take
+// the whole rate for itself.
 func TestRestartOfAllHostsRushesNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
@@ -134,8 +134,8 @@
 	require.LessOrEqual(t, float64(most), testColdBound)
 }
 
-// A zone whose backend servers are cold is cut off from the others, and its hosts from each other. Each decides alone, and none
-// takes what belongs to the others.
+// All hosts are disconnected from each other when a zone's backend servers return cold. None may take the rate that
+// belongs to the others.
 func TestHostsThatAreCutOffRushNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
@@ -148,8 +148,8 @@
 	require.LessOrEqual(t, float64(most), testColdBound)
 }
 
-// Whatever the size of the fleet, however many hosts restart and whoever is cut off, a cold backend server gets no more than the
-// operators allow in any second.
+// A cold backend server gets no more than the operators allow in any second, for any size of fleet, number of
+// restarting hosts and share of lost datagrams.
 func TestColdServersInAnyFleet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		zones := rapid.IntRange(1, 2).Draw(rt, "zones")
@@ -176,7 +176,7 @@
 	})
 }
 
-// A small fleet has cold backend servers only, as after a restart of all of them: it serves at the rate that they bear.
+// All backend servers of a small fleet are cold, as after a restart of all of them. They are used at their limited rate.
 func TestColdServersAreUsedWhereThereAreNoOthers(t *testing.T) {
 	f := newColdFleet(t, 1, 3, 2)
 	at := f.now
@@ -188,7 +188,7 @@
 	require.Positive(t, f.refused)
 }
 
-// A host that has just started knows few of those who send to cold backend servers, and what it sent before its start.
+// A host that has just started knows neither the other senders nor what its previous process sent.
 func TestYoungHostSendsNothingToColdServers(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1, Seeds: []string{"10.0.0.2"}, Bounds: coldBounds})
 	cold := changeOf("cold", 20, false)
@@ -203,7 +203,7 @@
 	dispatchOf(t, submitted(r, 2, minColdSenderAge+time.Second))
 }
 
-// An owner has no places at cold backend servers for others: who asks may be any host.
+// Owners grant no slots at cold backend servers: any host may request one, though only a few may send there.
 func TestOwnersOfferNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 1, 20, 23)
 	asker := f.hosts[0]
@@ -213,7 +213,7 @@
 	require.Nil(t, offers[0].Place)
 }
 
-// An owner offers a place before it hears that the backend server has started again.
+// An owner grants a slot before it learns that the backend server has restarted. The slot is returned.
 func TestOffersOfColdServersAreNotUsed(t *testing.T) {
 	f := newColdFleet(t, 1, 20, 23)
 	asker := f.hosts[0]
@@ -228,7 +228,7 @@
 	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
 
-// A registration tells how long a backend server is still cold, and a later one that it is warm.
+// A registration states how long a backend server stays cold. A later one can state that it is warm.
 func TestRegistrationsTellWhoIsCold(t *testing.T) {
 	r := newStandalone(t, "a")
 	r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
@@ -239,7 +239,7 @@
 	require.True(t, r.backends["a"].cold(r.now))
 	require.Equal(t, "cold", r.View().Backends[0].State)
 	r.Reduce(2*time.Second, Tick{})
-	require.Equal(t, time.Second, r.Snapshot(Since{}).Backends[0].Cold, "others hear what is left")
+	require.Equal(t, time.Second, r.Snapshot(Since{}).Backends[0].Cold, "the remaining time is sent to other hosts")
 	r.Reduce(3500*time.Millisecond, Tick{})
 	require.False(t, r.backends["a"].cold(r.now))
 	ch.Revision, ch.Cold = rev(61), time.Minute
@@ -249,7 +249,7 @@
 	require.False(t, r.backends["a"].cold(r.now))
 }
 
-// Operators may allow one request in a second and less than two, or none beyond the rate.
+// Bounds that allow one to less than two requests per second, or none beyond the rate, hold too.
 func TestColdServersWithTightBounds(t *testing.T) {
 	for _, b := range []struct{ rate, over, slack float64 }{{1, 1.5, 0}, {0.5, 1, 1}, {20, 1, 0}, {3, 0, 0}, {0.2, 1, 0}} {
 		r := newStandalone(t, "a")
@@ -279,7 +279,7 @@
 	}
 }
 
-// Plain servers may say for how long they are slow after a start, and bear as much as ever.
+// Servers of a plain service may register a cold period, but without a rate limit they are not treated as cold.
 func TestServersWithoutABoundAreNotCold(t *testing.T) {
 	r := newStandalone(t, "a")
 	ch := changeOf("a", 60, false)
--- a/internal/router/exhaustive_test.go
+++ b/internal/router/exhaustive_test.go
@@ -10,12 +10,12 @@
 	"fireflyshift/internal/routing"
 )
 
-// lifecycle is one request's way through the reducer, as its caller and the backend servers see it.
+// lifecycle tracks one request through the reducer, as its caller and the backend servers see it.
 type lifecycle struct {
 	b        *fixture
 	route    *routing.Route
 	mayRun   int // dispatches that may have run
-	runs     int // dispatches that were not proved not to have run, ever
+	runs     int // all dispatches except those proved not to have run
 	answered bool
 	inFlight bool
 	sends    int
@@ -34,7 +34,7 @@
 			l.mayRun++
 		case Refuse:
 			require.False(l.b.t, l.answered, "%s: answered twice", path)
-			require.Zero(l.b.t, l.mayRun, "%s: called not run", path)
+			require.Zero(l.b.t, l.mayRun, "%s: refused as not run", path)
 			l.answered = true
 		case GiveUp:
 			require.False(l.b.t, l.answered, "%s: answered twice", path)
@@ -45,7 +45,7 @@
 	require.LessOrEqual(l.b.t, l.sends, maxSends, path)
 }
 
-// allDispatchEnds are all ways in which a dispatch can end.
+// allDispatchEnds returns all ways in which a dispatch can end.
 func allDispatchEnds() []DispatchEnded {
 	var out []DispatchEnded
 	for o := Answered; o <= Canceled; o++ {
@@ -57,7 +57,7 @@
 	return out
 }
 
-// step is one thing that happens to a request.
+// step is one event in the life of a request.
 type step struct {
 	name string
 	do   func(l *lifecycle) []Effect
@@ -89,9 +89,8 @@
 	return out
 }
 
-// Every order of up to four things that can happen to a request of each kind, with three engines: no
-// answer twice, no run too many, "not run" only where that is proved. The reducer decides alike for any
-// longer way through the same states.
+// Every sequence of up to four events for a request of each kind, with three engines: no second answer, no run beyond
+// the limit, and "not run" only if proved. The reducer decides alike for longer sequences through the same states.
 func TestEveryShortLifeOfARequest(t *testing.T) {
 	const depth = 4
 	all := steps()
@@ -132,7 +131,7 @@
 	t.Logf("%d lives", sequences)
 }
 
-// permute calls f with every order of n things.
+// permute calls f with every permutation of n indices.
 func permute(n int, f func(order []int)) {
 	order := make([]int, 0, n)
 	used := make([]bool, n)
@@ -156,8 +155,8 @@
 	next()
 }
 
-// Six news reach a host in every order, from the store and from peers, each of them twice: what is in
-// force never goes back on the way, and the end is the same.
+// Six updates reach a host in every order, from the store and from peers, each twice. The state in force never goes
+// back and ends the same.
 func TestEveryOrderOfNews(t *testing.T) {
 	config := func(v uint64) routing.Changes { return routing.Changes{Config: &routing.Config{Version: v}} }
 	backend := func(rev uint64, removed bool) routing.Changes {
--- a/internal/router/failing_test.go
+++ b/internal/router/failing_test.go
@@ -10,8 +10,8 @@
 	"fireflyshift/internal/gossip/gossippb"
 )
 
-// newFailingFleet is a fleet under load of which one engine breaks a share of the requests that begin there. Those that began before go
-// on and end well.
+// newFailingFleet returns a fleet under load in which the given engines break a share of the requests that begin there. Requests
+// that began earlier complete normally.
 func newFailingFleet(t *testing.T, share float64, engines ...string) *zone {
 	z := newZones(t, 4, 17, 15)
 	z.breaks, z.broken = map[string]float64{}, map[string]int{}
@@ -22,16 +22,16 @@
 	return z
 }
 
-// One engine of sixty breaks each new request for five seconds, and long streams still end well there. It looks idle and each host
-// would learn by itself: 521 requests were lost at one. All hosts of all zones hear of it from those that have lost some.
+// One engine of 60 breaks each new request for five seconds while older streams still complete there. It looks idle,
+// and with each host learning for itself 521 requests were lost. The first hosts to lose some must warn all zones.
 func TestOneFailingServerTakesFewRequests(t *testing.T) {
 	z := newFailingFleet(t, 1, "e022")
 	z.run(5*time.Second, 300)
 	require.LessOrEqual(t, z.broken["e022"], 15)
 }
 
-// The same while callers ask for more than the fleet serves. All other engines are full, and the one that breaks its requests had
-// room for everybody: four engines lost 1,400 requests in five seconds.
+// The same under overload. All other engines are full, and the failing one always has room: four such engines lost
+// 1,400 requests in five seconds.
 func TestFailingServerIsNoRefugeFromAnOverload(t *testing.T) {
 	z := newFailingFleet(t, 1, "e022")
 	z.run(5*time.Second, 1000)
@@ -39,20 +39,20 @@
 	require.LessOrEqual(t, z.broken["e022"], 15)
 }
 
-// Owners do not answer questions, so that all hosts decide alone. They hear from them which engine fails all the same, in its zone
-// and in the others.
+// Owners do not reply to slot requests, so all hosts decide locally. They still learn from the owners' reports which
+// engine fails, in its zone and in others.
 func TestFailingServerIsToldBeyondAnswers(t *testing.T) {
 	z := newFailingFleet(t, 1, "e022")
 	z.drops = func(_, _ string, p *gossippb.Packet) bool { return p.Ask != nil }
 	z.run(5*time.Second, 300)
 	require.LessOrEqual(t, z.broken["e022"], 15)
-	z.originZone = "z0" // whose work overflows to the others
+	z.originZone = "z0" // overflows to the other zones
 	z.breaks["e037"] = 1
 	z.run(5*time.Second, 300)
 	require.LessOrEqual(t, z.broken["e037"], 15)
 }
 
-// All engines of a fleet break a share of their requests. It serves on with them.
+// All engines break a share of their requests. The fleet keeps using them.
 func TestFleetOfSuspectsServes(t *testing.T) {
 	z := newZones(t, 2, 4, 4)
 	z.breaks, z.broken = map[string]float64{}, map[string]int{}
@@ -65,7 +65,7 @@
 	require.Less(t, z.refused, z.dispatched/10)
 }
 
-// An engine that breaks nearly every other request serves some of its trials; one of them is no reason to trust it.
+// An engine that breaks nearly every other request serves some requests on probation. One success must not restore it.
 func TestHalfFailingServerTakesFewRequests(t *testing.T) {
 	z := newFailingFleet(t, 0.45, "e022")
 	z.run(5*time.Second, 300)
@@ -76,7 +76,7 @@
 	require.Greater(t, len(z.sends["e022"]), 15, "it is trusted again")
 }
 
-// Two of a hundred answers are lost at all engines of a zone. Hardly any is shut out for it.
+// All engines of a zone lose 2% of their answers. Hardly any may be avoided for that.
 func TestServersThatLoseFewAnswersAreNotShutOut(t *testing.T) {
 	z := newFailingFleet(t, 0.02, "e015", "e016", "e017", "e018", "e019", "e020", "e021", "e022", "e023", "e024", "e025", "e026", "e027", "e028", "e029")
 	avoided, seen := 0, 0
@@ -94,7 +94,7 @@
 	require.Less(t, float64(avoided), 0.1*float64(seen))
 }
 
-// A stream that began before an engine failed ends well there.
+// The success of a stream that began before a failure does not clear the failure.
 func TestOlderRunsClearNoFailure(t *testing.T) {
 	b := newBackend(changeOf("a", 10, false).Backend)
 	b.failed(2 * time.Second)
@@ -108,7 +108,7 @@
 	require.False(t, b.onProbation())
 }
 
-// In a small fleet each host tells what fails its requests. One host alone may have a fault of its own.
+// In a small fleet hosts report which engines fail their requests. A single report may stem from a fault of its sender.
 func TestTwoHostsWordsMakeASuspect(t *testing.T) {
 	r := newStandalone(t, "a", "b")
 	report := func(host string, seq uint64, failing ...uint32) {
@@ -123,8 +123,8 @@
 	require.False(t, a.suspect(r.now))
 }
 
-// Another zone's sum names an engine that fails. A host that finds nothing better decides alone after some refusals, and leaves it
-// alone all the same.
+// Another zone's summary lists a failing engine. A host that finds nothing better decides locally after some refusals,
+// and must still avoid that engine.
 func TestSumsOfZonesTellWhatFails(t *testing.T) {
 	z := newZones(t, 3, 10, 3)
 	z.run(2*time.Second, 50)
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -11,7 +11,7 @@
 	"fireflyshift/internal/routing"
 )
 
-// fixture is one reducer with a store that has told it everything.
+// fixture drives one reducer that has received a full update from the store.
 type fixture struct {
 	t    *testing.T
 	r    *Router
@@ -37,7 +37,7 @@
 	return b
 }
 
-// effectsOf are those of one kind among effects.
+// effectsOf filters effects by type.
 func effectsOf[E Effect](list []Effect) []E {
 	var out []E
 	for _, e := range list {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// submit returns the engine that a request goes to, or the refusal.
+// submit returns the engine that a request is dispatched to, or the refusal.
 func (b *fixture) submit(route *routing.Route, rank float64, output int) (string, *Refuse) {
 	b.next++
 	for _, e := range b.post(Submit{ID: b.next, Route: route, Rank: rank, OutputTok: output, Deadline: b.now + 10*time.Second}) {
@@ -69,20 +69,20 @@
 	return "", nil
 }
 
-// observeInterval lets an engine answer with a pace.
+// observeInterval adds a sample to an engine's event interval.
 func (b *fixture) observeInterval(engine string, pace time.Duration) {
 	b.r.backends[engine].learnEventInterval(pace)
 }
 
-// A burst of hints fills every engine. A review that comes then must still find a place at each of
-// them: engines admit in order of arrival, so that what may queue there is all that ranks.
+// Engines admit in order of arrival, so a burst of low-priority requests could fill the queues and delay urgent
+// ones. The limits leave room for urgent requests at every engine.
 func TestUrgentWorkFindsRoomInABurst(t *testing.T) {
 	b := newFixture(t, 2)
 	lowPriority := 0
 	for {
 		if _, refused := b.submit(lowPriorityRoute, routing.LeastUrgent, 100); refused != nil {
 			require.Equal(t, Overloaded, refused.Cause)
-			require.Positive(t, refused.RetryAfter, "told when to come back")
+			require.Positive(t, refused.RetryAfter, "has a retry delay")
 			break
 		}
 		lowPriority++
@@ -98,8 +98,8 @@
 	require.Equal(t, 2*2*headroomPerRank, urgent)
 }
 
-// Engines of a service differ fourfold in speed. Work goes where it shares the engine for the
-// shortest time, so that a fast engine gets four requests before a slow one gets its first.
+// Engines of one service differ fourfold in speed. A fast engine gets four requests before a slow one gets its
+// first.
 func TestFastEnginesAreFilledFirst(t *testing.T) {
 	b := newFixture(t, 2)
 	b.observeInterval("e0", 11*time.Millisecond)
@@ -112,8 +112,8 @@
 	require.Equal(t, "e1", engine)
 }
 
-// A summary of 1,800 tokens takes 28 s at an engine that takes 47 ms for three of them: its caller
-// leaves after 10 s, and the engine has worked for nothing. It goes to a fast one, however busy.
+// A stream of 1,800 tokens takes 28 s at an engine with an event interval of 47 ms. Its caller leaves after 10 s,
+// so the engine's work would be lost. It goes to a fast engine, however busy.
 func TestLongStreamsAvoidSlowEngines(t *testing.T) {
 	b := newFixture(t, 2)
 	b.observeInterval("e0", 11*time.Millisecond)
@@ -123,11 +123,11 @@
 		require.Equal(t, "e0", engine)
 	}
 	engine, _ := b.submit(urgentRoute, 0, 1800)
-	require.Equal(t, "e1", engine, "rather there than refused")
+	require.Equal(t, "e1", engine, "used rather than refusing the request")
 }
 
-// An engine crashes. It looks idle until its registration lapses, and every host would try it for
-// each request. Two hosts that say so are believed; one may be cut off itself.
+// A crashed engine looks idle until its registration lapses, and every host would try it for each request. The
+// reports of two hosts are accepted; one host alone may be disconnected itself.
 func TestDeadEnginesOfOthersAreAvoided(t *testing.T) {
 	b := newFixture(t, 2)
 	crashed := b.r.backends["e0"].hash
@@ -136,7 +136,7 @@
 	}
 	report("10.0.0.2")
 	engine, _ := b.submit(urgentRoute, 0, 10)
-	require.Equal(t, "e0", engine, "one host's word")
+	require.Equal(t, "e0", engine, "reported by one host only")
 	report("10.0.0.3")
 	for i := 0; i < 4; i++ {
 		engine, _ = b.submit(urgentRoute, 0, 10)
@@ -144,8 +144,8 @@
 	}
 }
 
-// No host of another zone is heard any more though some were: the zone is cut off, and a request to
-// its engines would wait for a connection in vain while its caller's objective passes.
+// A zone whose known hosts all stop sending heartbeats is disconnected. Requests to its engines would wait for a
+// connection until their target has passed.
 func TestEnginesOfASilentZoneAreAvoided(t *testing.T) {
 	b := newFixture(t, 2)
 	b.r.backends["e0"].Zone = "z1"
@@ -158,11 +158,11 @@
 	require.Equal(t, "e1", engine)
 }
 
-// A request that may be repeated breaks at one engine after another. It runs at no more engines than
-// its route allows, whatever the budget holds.
+// A repeatable request breaks at one engine after another. It runs at no more engines than its route allows,
+// whatever the retry budget holds.
 func TestAttemptsAreBounded(t *testing.T) {
 	b := newFixture(t, 8)
-	for i := 0; i < 60; i++ { // earns budget
+	for i := 0; i < 60; i++ { // earns retry budget
 		b.submit(urgentRoute, 0, 10)
 		b.post(DispatchEnded{ID: b.next, Outcome: Answered})
 	}
@@ -184,8 +184,8 @@
 	require.Equal(t, urgentRoute.MaxAttempts, runs)
 }
 
-// A stalled request moves only if another engine has room: closing its place in a queue for nothing
-// would make it later.
+// A stalled request moves only if another engine has room. Otherwise it would lose its position in the queue
+// and be later still.
 func TestStalledRequestStaysWithoutRoom(t *testing.T) {
 	b := newFixture(t, 2)
 	for i := 0; i < 20; i++ {
@@ -205,8 +205,8 @@
 	require.True(t, verdict())
 }
 
-// All readers of a zone are cut off from the store at once. The others notice by the age of their
-// contact and read by themselves, or a removed key would live on in the zone.
+// All store readers of a zone lose contact with the store at once. The other hosts notice by the age of the last
+// contact and read the store themselves; otherwise a removed key would stay valid in the zone.
 func TestOthersReadWhenTheReadersLoseTheStore(t *testing.T) {
 	r := New(Options{Host: "10.0.0.99", Zone: "z0", Incarnation: 1, Seed: 1})
 	now := time.Second
@@ -218,20 +218,19 @@
 	reads := func() bool { return r.updates.reading }
 	heartbeats(1, true)
 	r.Reduce(now, Tick{})
-	require.False(t, reads(), "this host is among the readers by its hash; choose another number")
+	require.False(t, reads(), "this host's hash makes it a reader; choose another address")
 	now += 100 * time.Millisecond
 	heartbeats(2, false)
 	r.Reduce(now, Tick{})
-	require.False(t, reads(), "not at the first word")
+	require.False(t, reads(), "not at the first report")
 	now += readersTimeout + time.Millisecond
 	heartbeats(3, false)
 	r.Reduce(now, Tick{})
 	require.True(t, reads())
 }
 
-// A registration lapses while the store is away. Its server is used a little longer, as it mostly lives;
-// but one that is still missing two seconds after the store's return is gone, and its address may
-// belong to another.
+// A registration lapses while the store is unavailable. Its server is probably still up and stays in use, but only
+// for two seconds after the store's return: by then its address may belong to another server.
 func TestLapsedRegistrationIsUsedBrieflyOnly(t *testing.T) {
 	b := newFixture(t, 1)
 	b.post(StoreStatus{OK: false})
@@ -244,7 +243,7 @@
 	require.Equal(t, NoBackend, refused.Cause)
 }
 
-// A server that drains is removed as the store returns. It said that it leaves: it is never doubtful.
+// A draining server is removed when the store returns. It announced that it leaves, so it is not kept as doubtful.
 func TestDrainedServerIsNeverUsedAgain(t *testing.T) {
 	b := newFixture(t, 1)
 	ch := routing.BackendChange{Revision: rev(55), Backend: b.r.backends["e0"].Backend}
@@ -256,9 +255,8 @@
 	require.NotNil(t, refused)
 }
 
-// Two of three engines crash on a heavy day, and the third is full. Their registrations live on for some
-// seconds, and they look idle: each of hundreds of requests tried one or two of them, for up to 200 ms
-// each where nothing answers, before it was refused.
+// Two engines of three crash under heavy load and the third is full. The crashed ones look idle until their
+// registrations lapse, so hundreds of requests tried them, for up to 200 ms each, before being refused.
 func TestDeadEnginesAreNotTriedWhileOthersAreFull(t *testing.T) {
 	b := newFixture(t, 2)
 	b.r.backends["e0"].connectFailed(b.now)
@@ -268,11 +266,11 @@
 	}
 	b.r.backends["e1"].connectFailed(b.now)
 	engine, _ := b.submit(lowPriorityRoute, 2, 10)
-	require.NotEmpty(t, engine, "with all of them dead the fault may be this host's own")
+	require.NotEmpty(t, engine, "if all are unreachable, the fault may be this host's own")
 }
 
-// A crashed engine starts again at its address under a new id. Whoever still asks for the old one is told
-// so; it never comes back, however long its registration lives.
+// A crashed engine restarts at its address under a new ID and rejects requests for the old one. The old one is never
+// used again, however long its registration lives.
 func TestReplacedEngineIsLeftForGood(t *testing.T) {
 	b := newFixture(t, 1)
 	engine, _ := b.submit(urgentRoute, 0, 10)
@@ -284,9 +282,8 @@
 	require.Equal(t, NoBackend, refused.Cause)
 }
 
-// A zone was cut off, and its engines could not be reached. The cut ends: the zone's hosts are heard again,
-// and its engines get work at once, one request each until one is answered. They were left alone for two
-// seconds more while the others refused a hundred requests.
+// A zone is reconnected after a network cut. Its engines get requests at once, one each until one is answered. They
+// used to be avoided for two more seconds while the other engines refused a hundred requests.
 func TestZoneHeardAgainGetsWork(t *testing.T) {
 	b := newFixture(t, 2)
 	e0 := b.r.backends["e0"]
@@ -307,9 +304,9 @@
 	require.True(t, e0.onProbation())
 }
 
-// Hosts are stopped and started in turn on a calm day. A caller keeps its connection to one that drains
-// and sends a stream there, which would not end in time. It is told to come back at once: its next
-// connection leads to another host, where it is in time. Told to wait, nearly all were late.
+// Hosts restart one after the other. A caller on a kept-alive connection sends a stream to a draining host, which
+// would not finish it in time. The retry delay must be short, as the next connection leads to another host; with
+// the usual delay nearly all such callers were late.
 func TestDrainingHostSendsCallersOnAtOnce(t *testing.T) {
 	b := newFixture(t, 1)
 	b.post(Drain{Until: b.now + 8*time.Second, Grace: 8 * time.Second})
@@ -320,9 +317,9 @@
 	require.Positive(t, refused.RetryAfter)
 }
 
-// Engines of one slot free a place once in a second, those of many slots every few milliseconds. Streams
-// queued four deep at each of them alike, so that at engines of one slot nearly all came late; now what may
-// wait follows from how often a place comes free, and the most urgent still go before the others.
+// Engines with one slot release it once a second, those with many release one every few milliseconds. With a fixed
+// queue of four at each, nearly all streams at one-slot engines were late. The queue now follows the slot release
+// interval, and more urgent requests still go first.
 func TestPlacesToWaitFollowTheEngine(t *testing.T) {
 	b := newFixture(t, 1)
 	e0 := b.r.backends["e0"]
@@ -332,7 +329,7 @@
 		s := b.r.newSelector(&request{Submit: Submit{Route: urgentRoute, Rank: rank}, service: "m"}, scopeAll)
 		return s.requestLimit(e0)
 	}
-	require.Equal(t, 1+1, limit(1, 0), "30 events of 20 ms are more than half of the objective")
+	require.Equal(t, 1+1, limit(1, 0), "30 events of 20 ms exceed half of the target latency")
 	require.Equal(t, 1, limit(1, routing.LeastUrgent))
 	require.Equal(t, 11+headroom, limit(11, 0))
 	require.Equal(t, 11+headroom-headroomPerRank, limit(11, 1))
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -17,22 +17,21 @@
 	quotaRate   = 640_000.0
 	quotaWindow = 8 * time.Second
 	quotaStep   = 10 * time.Millisecond
-	// burstAt is when the workspace begins to ask for six times its quota, and hotFor how long.
+	// burstAt is when the workspace begins to request six times its quota, and burstDuration how long it does.
 	burstAt       = 4 * time.Second
 	burstDuration = 14 * time.Second
 )
 
-// busyWorkspace is a fleet of six zones in which one workspace asks for seven tenths of its quota and then for
-// six times of it.
+// busyWorkspace is a fleet of six zones with a workspace that requests 0.7 times its quota and later six times.
 type busyWorkspace struct {
 	*zone
 	workspace routing.Workspace
 	bounds    Bounds
-	// admitted are tokens by step, byHost by host since the beginning.
+	// admitted holds the tokens admitted by step, and byHost those by host since the beginning.
 	admitted []float64
-	step     float64 // since the last of them
+	step     float64 // tokens since the last step
 	byHost   map[string]float64
-	// demand is how many demand its quota the workspace asks for when it is hot.
+	// demand is the multiple of its quota that the workspace requests after burstAt.
 	demand float64
 }
 
@@ -40,7 +39,7 @@
 	return newWorkspace(t, hostsPerZone, quotaRate)
 }
 
-// newWorkspace is a fleet with a workspace of another quota.
+// newWorkspace is newBusyWorkspace with another quota.
 func newWorkspace(t testing.TB, hostsPerZone int, rate float64) *busyWorkspace {
 	f := &busyWorkspace{zone: newZones(t, 6, hostsPerZone, 60), byHost: map[string]float64{}, demand: 6,
 		workspace: routing.Workspace{Name: "w", Rate: rate, Burst: rate, InTokens: true},
@@ -57,7 +56,7 @@
 	return f
 }
 
-// submitRequests runs the hot workspace; at is called at each step with the time since the beginning.
+// submitRequests submits the workspace's requests and calls at before each step with the time since the beginning.
 func (f *busyWorkspace) submitRequests(at func(time.Duration)) {
 	due := 0.0
 	for since := time.Duration(0); since < burstAt+burstDuration; since += quotaStep {
@@ -81,7 +80,7 @@
 	}
 }
 
-// maxAdmitted is the most that was admitted in a window, as a part of the operators' bound.
+// maxAdmitted returns the largest amount admitted in a window, relative to the operators' bound.
 func (f *busyWorkspace) maxAdmitted() float64 {
 	bound := (f.workspace.Rate*quotaWindow.Seconds()+f.workspace.Rate)*(1+f.bounds.QuotaOverage) + f.bounds.QuotaSlack
 	steps, worst := int(quotaWindow/quotaStep), 0.0
@@ -95,7 +94,7 @@
 	return worst / bound
 }
 
-// restart starts a host again, with the configuration that others have.
+// restart replaces a host's process, with the configuration that the other hosts have.
 func (f *busyWorkspace) restart(h *zoneHost, incarnation uint64) {
 	h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: incarnation, Seed: incarnation, Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
 	h.startedAt = f.now
@@ -103,9 +102,9 @@
 	f.post(h, Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &cfg}})
 }
 
-// One workspace of a large fleet asks for six times its quota from one moment on. Hosts that heard of each other
-// in slow beats only let it through to the last hundredth of the operators' bound, and on a day with cuts beside it
-// beyond. While a quota is near its end, beats go out twice as often.
+// A workspace of a large fleet suddenly requests six times its quota. Hosts that exchanged only the usual slow
+// heartbeats admitted up to 0.99 of the operators' bound, and more on a day that also had network cuts. Heartbeats
+// are therefore sent twice as often while a quota is nearly used up.
 func TestQuotaHoldsInALargeFleet(t *testing.T) {
 	t.Parallel()
 	f := newBusyWorkspace(t, 16)
@@ -113,10 +112,10 @@
 	require.Less(t, f.maxAdmitted(), 0.89)
 }
 
-// Three hundred hosts, and a workspace that asks for twenty times its quota from one moment on: more than the operators allow goes through.
-// Each host's own part of what the workspace may save up is smaller than one request, and a bucket in credit admits a request of
-// any size, so that nearly all hosts go into debt by most of a request in the same moment. With requests of a twentieth of
-// the size, and twelve times the quota, such a fleet keeps to 0.86 of the bound.
+// A workspace suddenly requests twenty times its quota from three hundred hosts. Each host's share of the burst is
+// smaller than one request, and a bucket with credit admits a request of any size, so nearly all hosts overdrew by
+// most of a request at the same moment and exceeded the bound. With requests of a twentieth of the size and twelve
+// times the quota, such a fleet stays at 0.86 of the bound.
 func TestQuotaHoldsInAFleetOfHundreds(t *testing.T) {
 	f := newBusyWorkspace(t, 49)
 	f.demand = 20
@@ -124,7 +123,7 @@
 	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
-// Six times its quota again, in a fleet of 96 hosts, and a third of them start again in the middle of it.
+// A third of a fleet of 96 hosts restarts while a workspace requests six times its quota.
 func TestQuotaHoldsWhileHostsRestart(t *testing.T) {
 	t.Parallel()
 	f := newBusyWorkspace(t, 16)
@@ -141,10 +140,9 @@
 	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
-// A third of the hosts of a large fleet are cut off from all others, each alone, while a workspace asks for six
-// times its quota. Each heard no word of others any more, went on to refill as if they admitted nothing until it
-// noticed, and took all callers for its own: together they let through twice the quota, twenty times their even
-// part each. They keep to little more than their even part now.
+// A third of the hosts are disconnected, each alone, while a workspace requests six times its quota. Each used to
+// refill as if the others admitted nothing until it noticed, and to count all callers as its own: together they
+// admitted twice the quota, twenty times their even share each. They must stay close to their even share.
 func TestHostsThatHearNobodyKeepToTheirPart(t *testing.T) {
 	t.Parallel()
 	f := newBusyWorkspace(t, 16)
@@ -171,14 +169,14 @@
 		}
 	})
 	share := (cutOffTokens() - before) / (quotaRate * (burstDuration - 6*time.Second).Seconds())
-	require.Less(t, share, 0.5, "their even part is a third")
+	require.Less(t, share, 0.5, "their even share is one third")
 	require.Less(t, f.maxAdmitted(), 1.0)
 	require.Positive(t, share)
 }
 
-// The zones of a fleet are cut off from each other for longer than a quarter of a minute, as regions are for an hour
-// now and then, and a workspace asks all of them for six times its quota. After fifteen seconds each zone had forgotten
-// the others, divided the quota among its own hosts only and let a whole quota through: 4.16 times the bound together.
+// The zones are disconnected from each other for 20 s, as regions occasionally are for an hour, while a workspace
+// requests six times its quota from all of them. When zones were forgotten after 15 s, each divided the quota among
+// its own hosts only, and together they admitted 4.16 times the bound.
 func TestQuotaHoldsWhileZonesAreApartForLong(t *testing.T) {
 	t.Parallel()
 	f := newBusyWorkspace(t, 16)
@@ -192,8 +190,8 @@
 	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
-// The same with twelve hosts, each of them cut off from all others: 4.16 times the bound, and 2.25 with the longer
-// memory alone, since each had kept a bucket as full as the whole fleet's.
+// The same with twelve hosts that are all disconnected from each other. They admitted 4.16 times the bound, and 2.25
+// times with longer memory alone, because each kept a bucket as full as the whole fleet's.
 func TestQuotaHoldsWhileHostsAreAloneForLong(t *testing.T) {
 	t.Parallel()
 	f := newBusyWorkspace(t, 2)
@@ -205,8 +203,8 @@
 
 const smallRate = 47_000.0
 
-// Guards against a workspace that is refused far under its quota because its callers come to few of hundreds of hosts, each of
-// whose parts of the quota is a small fraction of one request.
+// Guards against refusing a workspace far below its quota when its callers reach only a few of hundreds of hosts,
+// whose shares of the quota are small fractions of one request.
 func TestSmallWorkspaceIsNotRefusedUnderItsQuota(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 49, smallRate)
@@ -229,7 +227,7 @@
 	require.LessOrEqual(t, asked-admitted, asked/100)
 }
 
-// Guards against small quotas that hundreds of hosts overdraw: each lets one request through that is many times its part.
+// Guards against hundreds of hosts overdrawing a small quota, each by one request many times its share.
 func TestSmallQuotaHoldsInAFleetOfHundreds(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 49, smallRate)
@@ -238,7 +236,8 @@
 	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
-// Guards against a quota that nobody decides over for seconds after its owners have died, or that is overdrawn as others take over.
+// Guards against a quota without an owner for seconds after its owners have crashed, and against overdrawing it while
+// others take over.
 func TestQuotaHoldsAsItsOwnersDie(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 16, smallRate)
@@ -258,11 +257,11 @@
 	for _, v := range f.admitted[len(f.admitted)/2:] {
 		late += v
 	}
-	require.Greater(t, late, 0.8*smallRate*(burstAt+burstDuration).Seconds()/2, "the workspace has its quota all the while")
+	require.Greater(t, late, 0.8*smallRate*(burstAt+burstDuration).Seconds()/2, "the workspace keeps getting its quota")
 }
 
-// Guards against an owner's late answer that charges a workspace for a request which was decided without it, and against the cost
-// of a request that finds no place staying charged at the owner.
+// Guards against charging a workspace for a request decided without its owner, whose reply came late, and against
+// keeping the charge of a request that is refused for lack of a slot.
 func TestWhatAnOwnerAdmitsAndDoesNotRunIsGivenBack(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 16, smallRate)
@@ -274,7 +273,7 @@
 	spent := func() float64 { return owner.r.quotas["w"].Spent() }
 	f.next++
 	f.post(asker, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
-	f.post(asker, CallerLeft{ID: f.next}) // its caller leaves before the owner answers
+	f.post(asker, CallerLeft{ID: f.next}) // its caller leaves before the owner replies
 	f.run(20*time.Millisecond, 0)
 	require.Zero(t, spent())
 
@@ -289,7 +288,7 @@
 	require.Zero(t, spent())
 }
 
-// Guards against hosts that each take themselves for the owner of a quota and each give out their zone's part of it.
+// Guards against several hosts considering themselves owner of a quota and each granting their zone's share.
 func TestOnlyOwnersDecideOverAQuota(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 16, smallRate)
@@ -306,8 +305,8 @@
 	}
 }
 
-// Guards against sums that name all of hundreds of workspaces each time: passed on to a hundred hosts at once they overflow a small
-// host's link, and those who miss them take the zone for cut off.
+// Guards against zone summaries that list all of hundreds of workspaces each time. Relayed to a hundred hosts at once
+// they overflow a small host's link, and hosts that miss them consider the zone disconnected.
 func TestSumsNameWhatWasSpentSince(t *testing.T) {
 	const workspaces = 200
 	b := newFixture(t, 1)
@@ -330,7 +329,7 @@
 			named[s.Workspace]++
 		}
 	}
-	require.Len(t, named, workspaces, "what was lost is told again")
+	require.Len(t, named, workspaces, "lost updates are repeated")
 	ok, _ := b.r.quotas["w123"].Admit(b.now, 10, b.r.hostScope())
 	require.True(t, ok)
 	names := []string{}
@@ -340,7 +339,7 @@
 	require.Contains(t, names, "w123")
 }
 
-// Guards against requests that are decided by a host's own small part for as long as a dead owner of their quota seems to live.
+// Guards against hosts deciding by their own small share of a quota until a crashed owner is detected.
 func TestSecondOwnerDecidesWhileTheFirstIsSilent(t *testing.T) {
 	f := newWorkspace(t, 16, smallRate)
 	owners := f.hosts[0].r.quotaOwners("w")
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -12,7 +12,7 @@
 	"fireflyshift/internal/routing"
 )
 
-// In a fleet of hundreds of hosts, one host's part of a quota is smaller than one request, so separate parts would refuse
+// In a fleet of hundreds of hosts, one host's share of a quota is smaller than one request, so separate shares would refuse
 // workspaces far below their quotas. Each workspace's quota therefore has an owner in each availability zone, computed by every
 // host alike, which decides on each request in its zone. Owners learn what the other zones admitted from heartbeats and zone
 // summaries, as hosts do, but there are only as many owners as zones. A host whose call gets no reply decides locally.
@@ -147,7 +147,7 @@
 }
 
 // handleQuotaRequest decides on another host's request, or refunds one that has not run. If two hosts disagree
-// about the owner, both would grant their zone's part, so a host decides only if it considers itself an owner.
+// about the owner, both would grant their zone's share, so a host decides only if it considers itself an owner.
 func (r *Router) handleQuotaRequest(from string, c *gossippb.Charge) {
 	quota, known := r.quotas[c.Workspace]
 	cost := clampCost(c)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -19,8 +19,8 @@
 	minRetryAfter     = 150 * time.Millisecond
 	retryAfterPerRank = 250 * time.Millisecond
 	retryAfterJitter  = 300 * time.Millisecond
-	// drainAcceptDuration is how long after its stop signal a host accepts all requests: until the balancer
-	// has seen two probes fail.
+	// drainAcceptDuration is how long after its stop signal a host accepts all requests: until the load
+	// balancer has seen two probes fail.
 	drainAcceptDuration = 3 * time.Second
 	// DrainRetryAfter is the retry delay sent by a draining host. It is short because the caller's next
 	// connection goes to another host: with the delay used under overload, nearly all such callers were late,
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -9,7 +9,7 @@
 	"fireflyshift/internal/gossip/gossippb"
 )
 
-// prompt submits an urgent stream with a prompt and returns the engine that it goes to.
+// prompt submits an urgent stream with a prompt and returns the engine it is dispatched to.
 func (b *fixture) prompt(tokens int) string {
 	b.next++
 	for _, e := range b.post(Submit{ID: b.next, Route: urgentRoute, PromptTok: tokens, OutputTok: 100, Deadline: b.now + 10*time.Second}) {
@@ -20,7 +20,7 @@
 	return ""
 }
 
-// newMixedSpeeds is a fast engine that reads a thousand tokens in 10 ms, and one that takes five times as long.
+// newMixedSpeeds has a fast engine that needs 10 ms to prefill a thousand tokens, and one that needs five times as long.
 func newMixedSpeeds(t *testing.T) *fixture {
 	b := newFixture(t, 2)
 	b.r.backends["e0"].interval, b.r.backends["e0"].prefillPerToken, b.r.backends["e0"].samples = 11*time.Millisecond, 10*time.Microsecond, 1
@@ -28,25 +28,25 @@
 	return b
 }
 
-// Itineraries with long prompts come on a calm day, and engines differ fivefold in speed. By the number of
-// requests alone every fifth went to the slow engine, where it took a third of a second to be read and
-// held up all streams beside it: a third of what was served there came late, a hundredth elsewhere. By the
-// time to the first event long prompts wait for the fast engine, and short ones fill the slow one.
+// Requests with long prompts come on a day without overload, and engines differ fivefold in speed. When only requests
+// were counted, one in five went to the slow engine, took a third of a second to prefill and delayed all streams there:
+// a third of them were late, against 1% elsewhere. By predicted time to first event, long prompts wait for the fast
+// engine and short ones use the slow one.
 func TestLongPromptsGoWhereTheyAreReadSoon(t *testing.T) {
 	b := newMixedSpeeds(t)
 	for i := 0; i < 4; i++ {
 		require.Equal(t, "e0", b.prompt(6000))
 	}
-	require.Equal(t, "e1", b.prompt(600), "behind 24,000 tokens even a short prompt begins later")
-	require.Equal(t, "e0", b.prompt(6000), "a long one would begin later still at the slow engine")
+	require.Equal(t, "e1", b.prompt(600), "even a short prompt starts later behind 24,000 tokens")
+	require.Equal(t, "e0", b.prompt(6000), "a long one would start later still at the slow engine")
 	for id := uint64(1); id <= 4; id++ {
 		b.post(StreamStarted{ID: id, First: 60 * time.Millisecond})
 	}
-	require.Less(t, b.r.backends["e0"].prefillBacklog(b.now), 7000, "what has begun is read")
+	require.Less(t, b.r.backends["e0"].prefillBacklog(b.now), 7000, "streams that have begun are prefilled")
 }
 
-// All places of the fast engine are taken. The next stream goes to the slow one, if a place there comes
-// sooner than one of the fast engine's streams ends.
+// All slots of the fast engine are in use. The next stream goes to the slow one if it would start there before one of
+// the fast engine's streams ends.
 func TestWaitForAPlaceCounts(t *testing.T) {
 	b := newMixedSpeeds(t)
 	for i := 0; i < 5; i++ {
@@ -58,9 +58,8 @@
 	require.Equal(t, "e1", b.prompt(700))
 }
 
-// A host has just started, as all did after a loss of power, and knows no engine's speed. The first events
-// of the first streams tell it, not their ends seconds later: until then a tenth of what it sent went to
-// the slowest engines.
+// After a restart of all hosts no engine's speed is known. It must be learned from the first events of the first
+// streams: when it was learned at their end seconds later, a tenth of a host's requests went to the slowest engines.
 func TestFirstEventsTeachTheSpeed(t *testing.T) {
 	b := newFixture(t, 2)
 	require.Equal(t, "e0", b.prompt(1000))
@@ -71,7 +70,7 @@
 	require.Equal(t, 55*time.Millisecond, e0.interval)
 	require.Equal(t, "e1", b.prompt(1000))
 
-	// Behind others' prompts the first event tells nothing.
+	// Behind other hosts' prompts the first event is no sample of the prefill time.
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
 		Loads: []*gossippb.Load{{Backend: e0.hash, InFlight: counts{1}.pack(), Unread: 2000}, {Backend: b.r.backends["e1"].hash, Unread: 9000}}}})
 	require.Equal(t, "e0", b.prompt(1000))
@@ -79,8 +78,8 @@
 	require.Equal(t, 60*time.Microsecond, e0.prefillPerToken)
 }
 
-// What one host has learned the others hear, once, and only those that have not observed the engine
-// themselves take it.
+// A speed learned by one host is reported to the others once, and used only by hosts that have not observed the engine
+// themselves.
 func TestSpeedsAreTold(t *testing.T) {
 	b := newFixture(t, 2)
 	b.prompt(1000)
@@ -99,7 +98,7 @@
 	}
 	reported := speeds()
 	require.Len(t, reported, 1)
-	require.Empty(t, speeds(), "not again")
+	require.Empty(t, speeds(), "reported once only")
 
 	other := newFixture(t, 2)
 	other.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.3", Zone: "z0", Incarnation: 1, Seq: 1, Speeds: reported}})
@@ -111,8 +110,7 @@
 	require.Equal(t, kept, other.r.backends["e0"].interval)
 }
 
-// Another host's long prompts at an engine are told, and count until the engine has had the time to read
-// them.
+// Another host's long prompts at an engine count until the engine has had the time to prefill them.
 func TestOthersUnreadPromptsCount(t *testing.T) {
 	b := newMixedSpeeds(t)
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1,
--- a/internal/router/suspects.go
+++ b/internal/router/suspects.go
@@ -19,7 +19,7 @@
 	fullListSenders = 2
 )
 
-// suspectState records the requests suspected of ending backend servers.
+// suspectState records the requests suspected of crashing backend servers.
 type suspectState struct {
 	ledger *quarantine.Ledger
 	// nextFullListAt is when this host next sends the full list to its zone.
@@ -43,7 +43,7 @@
 // HasSuspects reports whether any request is suspected, so that the digests of all requests are needed.
 func (r *Router) HasSuspects() bool { return !r.suspects.ledger.Empty() }
 
-// recordRequestOutcome records what the end of a dispatch shows of the request itself. If backend servers end one
+// recordRequestOutcome records what the end of a dispatch shows of the request itself. If backend servers crash one
 // after another while they run the same request, that request is the likely cause, and its callers repeat it at any host.
 func (r *Router) recordRequestOutcome(b *backend, q *request, e DispatchEnded) {
 	if !e.Digest.Zero() {
