--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -16,8 +16,8 @@
 const maxSpreadTime = 3 * time.Second
 
 var (
-	crashing  = quarantine.Identity{Target: "/deadly"}.Digest()
-	popular = quarantine.Identity{Target: "/popular"}.Digest()
+	crashing = quarantine.Identity{Target: "/deadly"}.Digest()
+	popular  = quarantine.Identity{Target: "/popular"}.Digest()
 )
 
 // crashSender sends one request repeatedly to hosts of a fleet. It crashes each engine that runs it.
