--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -85,12 +85,12 @@
 }
 
 func (d *demo) startStandIns() error {
-	d.platformAddr, d.plainAddr = fleet.Addr(), fleet.Addr()
+	d.platformAddr, d.plainAddr = fleet.FreeAddr(), fleet.FreeAddr()
 	if err := d.start("standin", "platform", "--listen", d.platformAddr); err != nil {
 		return err
 	}
 	for name, step := range map[string]string{"fast": "5ms", "middling": "8ms", "slow": "15ms"} {
-		d.engines[name] = fleet.Addr()
+		d.engines[name] = fleet.FreeAddr()
 		if err := d.start("standin", "engine", "--listen", d.engines[name], "--step", step); err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 	if err := d.start("standin", "plain", "--listen", d.plainAddr); err != nil {
 		return err
 	}
-	up := fleet.Until(startTimeout, func() bool {
+	up := fleet.WaitUntil(startTimeout, func() bool {
 		_, _, a := fleet.Get("http://" + d.platformAddr + "/v1/hosts")
 		_, _, b := fleet.Get("http://" + d.plainAddr + "/")
 		return a == nil && b == nil
@@ -169,29 +169,29 @@
 		case 0:
 			tier := []string{"review", "commit-hint", "push-check"}[i/3]
 			prompt := fmt.Sprintf("Review homework %d, please.", i)
-			a := school.With("Fireflyshift-Tier", tier).Chat(ctx, host.Callers, "notes", prompt, 40, true)
+			a := school.WithHeader("Fireflyshift-Tier", tier).Chat(ctx, host.Callers, "notes", prompt, 40, true)
 			d.report(host.ID, "streamed review note", tier, a, a.Text == engine.Answer("user\n"+prompt+"\n", 40))
 		case 1:
-			a := cafe.With("Fireflyshift-Tier", "push-check").Call(ctx, "GET", host.Callers, "git-web", "price/fryer", nil)
+			a := cafe.WithHeader("Fireflyshift-Tier", "push-check").Call(ctx, "GET", host.Callers, "git-web", "price/fryer", nil)
 			d.report(host.ID, "plain price check", "push-check", a, true)
 		case 2:
 			ticket := school.Ticket(ctx, host.Callers)
-			c := school.With("Fireflyshift-Idempotent", "no").With("Fireflyshift-Ticket", ticket).With("X-Operation", fmt.Sprintf("post-%d", i))
+			c := school.WithHeader("Fireflyshift-Idempotent", "no").WithHeader("Fireflyshift-Ticket", ticket).WithHeader("X-Operation", fmt.Sprintf("post-%d", i))
 			a := c.Call(ctx, "POST", host.Callers, "git-web", "grade-thread", []byte("well done"))
 			d.report(host.ID, "non-idempotent post", "push-check", a, true)
 			next := d.hosts[(i+1)%len(d.hosts)]
 			repeated := c.Call(ctx, "POST", next.Callers, "git-web", "grade-thread", []byte("well done"))
-			fmt.Printf("%-5s %-28s %-12s refused: %s, work: %s\n", next.ID, "the same post once more", "push-check", repeated.Kind, repeated.Work)
-			if repeated.Kind != "ticket_done" {
+			fmt.Printf("%-5s %-28s %-12s refused: %s, work: %s\n", next.ID, "the same post once more", "push-check", repeated.ErrorKind, repeated.Work)
+			if repeated.ErrorKind != "ticket_done" {
 				d.failures++
 			}
 		}
 	}
 }
 
-func (d *demo) report(host, what, tier string, a fleet.Answer, correct bool) {
+func (d *demo) report(host, what, tier string, a fleet.Response, correct bool) {
 	fmt.Printf("%-5s %-28s %-12s %-10s %12s %10s  %d %s\n", host, what, tier, a.Backend, a.FirstToken.Round(time.Millisecond/10),
-		a.Took.Round(time.Millisecond/10), a.Status, a.Kind)
+		a.Duration.Round(time.Millisecond/10), a.Status, a.ErrorKind)
 	if !a.OK() || !correct {
 		d.failures++
 		fmt.Printf("      wrong response: %v %q\n", a.Err, a.Text)
--- a/cmd/demo/platform.go
+++ b/cmd/demo/platform.go
@@ -76,7 +76,7 @@
 	if err := d.start("fireflyshiftd", "--platform"); err != nil {
 		return err
 	}
-	ready := fleet.Until(startTimeout, func() bool { return platformtest.Ready(ip) })
+	ready := fleet.WaitUntil(startTimeout, func() bool { return platformtest.Ready(ip) })
 	if !ready {
 		return fmt.Errorf("host %s is not ready after %s", ip, startTimeout)
 	}
--- a/internal/measure/capacity.go
+++ b/internal/measure/capacity.go
@@ -158,7 +158,7 @@
 	}
 	beforeS, _ := r.usage(scheduler)
 	beforeE, _ := r.usage(entry)
-	c := fleet.NewCaller("school-key").With("Fireflyshift-Tier", "top")
+	c := fleet.NewCaller("school-key").WithHeader("Fireflyshift-Tier", "top")
 	openLoop(size, length, 3, func(ctx context.Context, _ int, _ time.Time) {
 		c.Call(ctx, "GET", entry.Callers, "git", "x", nil)
 	})
--- a/internal/measure/overhead.go
+++ b/internal/measure/overhead.go
@@ -106,11 +106,11 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c := fleet.NewCaller("school-key").With("Fireflyshift-Deadline-Ms", "600000")
+	c := fleet.NewCaller("school-key").WithHeader("Fireflyshift-Deadline-Ms", "600000")
 	for i := 0; i < n; i++ {
 		go c.Chat(ctx, r.specs[0].Callers, "notes", fmt.Sprint("p", i), 100_000, true)
 	}
-	held := fleet.Until(startTimeout, func() bool {
+	held := fleet.WaitUntil(startTimeout, func() bool {
 		s, err := r.status(r.specs[0])
 		return err == nil && s.Requests >= n
 	})
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -84,14 +84,14 @@
 	gap      *hdrhistogram.Histogram
 }
 
-func (c *collector) add(o outcome, a fleet.Answer, top bool) {
+func (c *collector) add(o outcome, a fleet.Response, top bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes = append(c.outcomes, o)
 	if top && o.good {
 		noteDuration(c.first, a.FirstToken)
 	}
-	for _, g := range a.Gaps {
+	for _, g := range a.TokenGaps {
 		noteDuration(c.gap, g)
 	}
 }
@@ -217,7 +217,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 	for w := range m.workspaces {
 		for t := range m.tiers {
-			call := fleet.NewCaller(fmt.Sprint("key-", w)).With("Fireflyshift-Tier", m.tiers[t].name)
+			call := fleet.NewCaller(fmt.Sprint("key-", w)).WithHeader("Fireflyshift-Tier", m.tiers[t].name)
 			call.Client = client
 			callers[[2]int{w, t}] = call
 		}
@@ -235,8 +235,8 @@
 				a = callers[[2]int{j.workspace, j.tier}].Chat(ctx, lb.pick(), "notes", j.prompt, j.tokens, true)
 			}
 			right := a.OK() && a.Text == engine.Answer("user\n"+j.prompt+"\n", j.tokens)
-			in := a.Took <= m.tiers[j.tier].deadline
-			c.add(outcome{job: j, good: right && in, kind: a.Kind}, a, j.tier == 0)
+			in := a.Duration <= m.tiers[j.tier].deadline
+			c.add(outcome{job: j, good: right && in, kind: a.ErrorKind}, a, j.tier == 0)
 		}()
 	}
 	wg.Wait()
--- a/internal/measure/rig.go
+++ b/internal/measure/rig.go
@@ -110,7 +110,7 @@
 		}
 	}
 	for _, s := range r.specs {
-		up := fleet.Until(startTimeout, func() bool {
+		up := fleet.WaitUntil(startTimeout, func() bool {
 			st, err := r.status(s)
 			return err == nil && st.Ready && alive(st) == zones[s.Zone]-1
 		})
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -24,8 +24,8 @@
 	return &Caller{Key: key, Client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}, Headers: map[string]string{}}
 }
 
-// With returns a copy with one more header.
-func (c *Caller) With(name, value string) *Caller {
+// WithHeader returns a copy with one more header.
+func (c *Caller) WithHeader(name, value string) *Caller {
 	out := &Caller{Key: c.Key, Client: c.Client, Headers: map[string]string{name: value}}
 	for k, v := range c.Headers {
 		if k != name {
@@ -35,39 +35,39 @@
 	return out
 }
 
-// Answer is what came back.
-type Answer struct {
+// Response is what came back.
+type Response struct {
 	Status     int
 	Text       string // the model's text, or the body of a plain service
-	Whole      bool   // a stream ended with [DONE], a body with its declared length
-	Kind       string
+	Complete   bool   // a stream ended with [DONE], a body with its declared length
+	ErrorKind  string
 	Work       string
 	Ticket     string
 	RetryAfter string
-	Request    string
+	RequestID  string
 	Backend    string
 	FirstToken time.Duration
-	Took       time.Duration
-	Gaps       []time.Duration // between tokens
+	Duration   time.Duration
+	TokenGaps  []time.Duration // between tokens
 	Err        error
 }
 
 // OK tells that the whole answer came.
-func (a Answer) OK() bool { return a.Err == nil && a.Status == http.StatusOK && a.Whole }
+func (a Response) OK() bool { return a.Err == nil && a.Status == http.StatusOK && a.Complete }
 
 // Chat asks a model service on a host.
-func (c *Caller) Chat(ctx context.Context, host, model, prompt string, tokens int, stream bool) Answer {
+func (c *Caller) Chat(ctx context.Context, host, model, prompt string, tokens int, stream bool) Response {
 	body, _ := json.Marshal(M{"model": model, "messages": []M{{"role": "user", "content": prompt}}, "max_tokens": tokens, "stream": stream})
 	return c.do(ctx, http.MethodPost, "http://"+host+"/v1/chat/completions", body, stream)
 }
 
 // Call asks a plain service on a host.
-func (c *Caller) Call(ctx context.Context, method, host, service, path string, body []byte) Answer {
+func (c *Caller) Call(ctx context.Context, method, host, service, path string, body []byte) Response {
 	return c.do(ctx, method, "http://"+host+"/services/"+service+"/"+path, body, false)
 }
 
-// Raw sends any request.
-func (c *Caller) Raw(ctx context.Context, method, url string, body []byte) Answer {
+// Do sends any request.
+func (c *Caller) Do(ctx context.Context, method, url string, body []byte) Response {
 	return c.do(ctx, method, url, body, false)
 }
 
@@ -81,11 +81,11 @@
 	return out.Ticket
 }
 
-func (c *Caller) do(ctx context.Context, method, url string, body []byte, stream bool) Answer {
+func (c *Caller) do(ctx context.Context, method, url string, body []byte, stream bool) Response {
 	started := time.Now()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	req.Header.Set("Authorization", "Bearer "+c.Key)
 	for k, v := range c.Headers {
@@ -93,25 +93,25 @@
 	}
 	resp, err := c.Client.Do(req)
 	if err != nil {
-		return Answer{Err: err, Took: time.Since(started)}
+		return Response{Err: err, Duration: time.Since(started)}
 	}
 	defer resp.Body.Close()
-	a := Answer{Status: resp.StatusCode, Work: resp.Header.Get("Fireflyshift-Work"), Request: resp.Header.Get("Fireflyshift-Request-Id"),
+	a := Response{Status: resp.StatusCode, Work: resp.Header.Get("Fireflyshift-Work"), RequestID: resp.Header.Get("Fireflyshift-Request-Id"),
 		Backend: resp.Header.Get("Fireflyshift-Backend"), Ticket: resp.Header.Get("Fireflyshift-Ticket"), RetryAfter: resp.Header.Get("Retry-After")}
 	if stream && resp.StatusCode == http.StatusOK {
 		a.readStream(resp.Body, started)
 	} else {
-		a.readWhole(resp.Body, started)
+		a.readBody(resp.Body, started)
 	}
-	a.Took = time.Since(started)
+	a.Duration = time.Since(started)
 	return a
 }
 
-func (a *Answer) readWhole(body io.Reader, started time.Time) {
+func (a *Response) readBody(body io.Reader, started time.Time) {
 	data, err := io.ReadAll(body)
 	a.Err, a.FirstToken = err, time.Since(started)
-	a.Text, a.Whole = string(data), err == nil
-	a.noteFault(data)
+	a.Text, a.Complete = string(data), err == nil
+	a.setError(data)
 	var chat struct {
 		Choices []struct {
 			Message struct {
@@ -124,7 +124,7 @@
 	}
 }
 
-func (a *Answer) noteFault(data []byte) {
+func (a *Response) setError(data []byte) {
 	var f struct {
 		Error struct {
 			Kind string `json:"kind"`
@@ -132,11 +132,11 @@
 		} `json:"error"`
 	}
 	if json.Unmarshal(data, &f) == nil && f.Error.Kind != "" {
-		a.Kind, a.Work = f.Error.Kind, f.Error.Work
+		a.ErrorKind, a.Work = f.Error.Kind, f.Error.Work
 	}
 }
 
-func (a *Answer) readStream(body io.Reader, started time.Time) {
+func (a *Response) readStream(body io.Reader, started time.Time) {
 	var text strings.Builder
 	lines := bufio.NewReader(body)
 	var latest time.Time
@@ -146,7 +146,7 @@
 			a.Text = text.String()
 			if err != io.EOF {
 				a.Err = err
-			} else if a.Kind == "" {
+			} else if a.ErrorKind == "" {
 				a.Err = fmt.Errorf("the stream ended without [DONE]")
 			}
 			return
@@ -159,11 +159,11 @@
 		if latest.IsZero() {
 			a.FirstToken = now.Sub(started)
 		} else {
-			a.Gaps = append(a.Gaps, now.Sub(latest))
+			a.TokenGaps = append(a.TokenGaps, now.Sub(latest))
 		}
 		latest = now
 		if data == "[DONE]" {
-			a.Text, a.Whole = text.String(), true
+			a.Text, a.Complete = text.String(), true
 			return
 		}
 		var chunk struct {
@@ -176,6 +176,6 @@
 		if json.Unmarshal([]byte(data), &chunk) == nil && len(chunk.Choices) == 1 {
 			text.WriteString(chunk.Choices[0].Delta.Content)
 		}
-		a.noteFault([]byte(data))
+		a.setError([]byte(data))
 	}
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -29,8 +29,8 @@
 
 var nextPort atomic.Int64
 
-// Addr finds a free loopback address.
-func Addr() string {
+// FreeAddr finds a free loopback address.
+func FreeAddr() string {
 	nextPort.CompareAndSwap(0, int64(firstPort+(os.Getpid()*97)%(lastPort-firstPort-3000)))
 	for {
 		port := nextPort.Add(1)
@@ -52,37 +52,37 @@
 	cmd  *exec.Cmd
 	done chan struct{}
 	err  error
-	Log  *Buffer
+	Log  *LogBuffer
 }
 
-// Buffer is a concurrent, bounded log.
-type Buffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+// LogBuffer is a concurrent, bounded log.
+type LogBuffer struct {
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
-const maxLog = 8 << 20
+const maxLogBytes = 8 << 20
 
 // Write keeps the start of the log.
-func (b *Buffer) Write(p []byte) (int, error) {
+func (b *LogBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.b.Len() < maxLog {
-		b.b.Write(p)
+	if b.buf.Len() < maxLogBytes {
+		b.buf.Write(p)
 	}
 	return len(p), nil
 }
 
 // String is what was logged.
-func (b *Buffer) String() string {
+func (b *LogBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.b.String()
+	return b.buf.String()
 }
 
 // Start runs a program.
 func Start(program string, args ...string) (*Process, error) {
-	p := &Process{cmd: exec.Command(program, args...), done: make(chan struct{}), Log: &Buffer{}}
+	p := &Process{cmd: exec.Command(program, args...), done: make(chan struct{}), Log: &LogBuffer{}}
 	p.cmd.Stdout, p.cmd.Stderr = p.Log, p.Log
 	if err := p.cmd.Start(); err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 
 // NewHostSpec fills the addresses.
 func NewHostSpec(id, zone, platform string) HostSpec {
-	return HostSpec{ID: id, Zone: zone, Callers: Addr(), Peers: Addr(), Admin: Addr(), Platform: platform}
+	return HostSpec{ID: id, Zone: zone, Callers: FreeAddr(), Peers: FreeAddr(), Admin: FreeAddr(), Platform: platform}
 }
 
 // INI is the settings file of the host.
@@ -170,11 +170,11 @@
 	return Start(program, "--settings", path)
 }
 
-var probe = &http.Client{Timeout: 2 * time.Second}
+var httpClient = &http.Client{Timeout: 2 * time.Second}
 
 // Get reads a URL and reports its status and body.
 func Get(url string) (int, string, error) {
-	resp, err := probe.Get(url)
+	resp, err := httpClient.Get(url)
 	if err != nil {
 		return 0, "", err
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := probe.Post(url, "application/json", bytes.NewReader(data))
+	resp, err := httpClient.Post(url, "application/json", bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
@@ -200,8 +200,8 @@
 	return nil
 }
 
-// Until repeats a check until it is true or the timeout has passed.
-func Until(timeout time.Duration, check func() bool) bool {
+// WaitUntil repeats a check until it is true or the timeout has passed.
+func WaitUntil(timeout time.Duration, check func() bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	for {
@@ -218,7 +218,7 @@
 
 // Ready waits until a host says that it is ready.
 func Ready(timeout time.Duration, admin string) bool {
-	return Until(timeout, func() bool {
+	return WaitUntil(timeout, func() bool {
 		code, _, err := Get("http://" + admin + "/readyz")
 		return err == nil && code == http.StatusOK
 	})
@@ -226,7 +226,7 @@
 
 // Serve runs a handler on a free loopback address until stop is called.
 func Serve(h http.Handler) (addr string, stop func()) {
-	addr = Addr()
+	addr = FreeAddr()
 	return addr, ServeAt(addr, h)
 }
 
--- a/internal/standin/fleet/records.go
+++ b/internal/standin/fleet/records.go
@@ -16,7 +16,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func raw(kind record.Kind, name string, schema uint32, body any) record.Raw {
+func newRecord(kind record.Kind, name string, schema uint32, body any) record.Raw {
 	data, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
@@ -29,28 +29,28 @@
 
 // Tier is a tier record in the old side's schema.
 func Tier(name string, priority, reservePercent, deadlineMS int) record.Raw {
-	return raw(record.KindTier, name, 1, M{"priority": priority, "reserve_percent": reservePercent, "deadline_ms": deadlineMS})
+	return newRecord(record.KindTier, name, 1, M{"priority": priority, "reserve_percent": reservePercent, "deadline_ms": deadlineMS})
 }
 
 // Workspace is a workspace record in the old side's schema.
 func Workspace(name, key string, tiers []string, weight float64) record.Raw {
-	return raw(record.KindWorkspace, name, 1, M{"key_sha256": []string{KeyHash(key)}, "tiers": tiers, "weight": weight})
+	return newRecord(record.KindWorkspace, name, 1, M{"key_sha256": []string{KeyHash(key)}, "tiers": tiers, "weight": weight})
 }
 
 // WorkspaceV2 is a workspace record in the new side's schema.
 func WorkspaceV2(name, key string, tiers []string, sharePercent float64) record.Raw {
-	return raw(record.KindWorkspace, name, 2, M{"keys": []M{{"sha256": KeyHash(key)}},
+	return newRecord(record.KindWorkspace, name, 2, M{"keys": []M{{"sha256": KeyHash(key)}},
 		"grants": M{"tiers": tiers, "share_percent": sharePercent}})
 }
 
 // Service is a service record in the old side's schema.
 func Service(name string, kind record.ServiceKind, policy, tier string) record.Raw {
-	return raw(record.KindService, name, 1, M{"kind": kind, "policy": policy, "default_tier": tier})
+	return newRecord(record.KindService, name, 1, M{"kind": kind, "policy": policy, "default_tier": tier})
 }
 
 // Backend is a backend server's record in the old side's schema.
 func Backend(name, service, zone, addr string, slots int, state string) record.Raw {
-	return raw(record.KindBackend, name, 1, M{"service": service, "zone": zone, "addr": addr, "slots": slots,
+	return newRecord(record.KindBackend, name, 1, M{"service": service, "zone": zone, "addr": addr, "slots": slots,
 		"state": state, "suspend": true})
 }
 
@@ -59,6 +59,6 @@
 	ip, port, _ := strings.Cut(addr, ":")
 	var n int
 	_, _ = fmt.Sscan(port, &n)
-	return raw(record.KindBackend, name, 2, M{"serves": service, "location": M{"zone": zone, "ip": ip, "port": n},
+	return newRecord(record.KindBackend, name, 2, M{"serves": service, "location": M{"zone": zone, "ip": ip, "port": n},
 		"capacity": M{"concurrent": slots}, "features": []string{"suspend"}})
 }
--- a/test/bed_test.go
+++ b/test/bed_test.go
@@ -112,7 +112,7 @@
 }
 
 func (b *bed) proxy(name, upstream string) *toxiproxy.Proxy {
-	p := toxiproxy.NewProxy(b.proxies, name, fleet.Addr(), upstream)
+	p := toxiproxy.NewProxy(b.proxies, name, fleet.FreeAddr(), upstream)
 	require.NoError(b.t, p.Start())
 	b.t.Cleanup(p.Stop)
 	return p
@@ -197,7 +197,7 @@
 				want++
 			}
 		}
-		require.True(b.t, fleet.Until(patience, func() bool {
+		require.True(b.t, fleet.WaitUntil(patience, func() bool {
 			n := 0
 			for _, p := range b.status(id).Peers {
 				if p.Alive {
@@ -221,7 +221,7 @@
 // scheduler finds the host that schedules a service's group in a zone.
 func (b *bed) scheduler(service, zone string) string {
 	found := ""
-	require.True(b.t, fleet.Until(patience, func() bool {
+	require.True(b.t, fleet.WaitUntil(patience, func() bool {
 		for _, id := range b.order {
 			if b.specs[id].Zone != zone {
 				continue
@@ -283,7 +283,7 @@
 func (b *bed) caller() *fleet.Caller { return fleet.NewCaller(school) }
 
 func tiered(tier string) *fleet.Caller {
-	return fleet.NewCaller(school).With("Fireflyshift-Tier", tier)
+	return fleet.NewCaller(school).WithHeader("Fireflyshift-Tier", tier)
 }
 
 func ctx(t *testing.T) context.Context {
@@ -321,11 +321,11 @@
 type load struct {
 	wg      sync.WaitGroup
 	mu      sync.Mutex
-	answers []fleet.Answer
+	answers []fleet.Response
 	cancel  context.CancelFunc
 }
 
-func startLoad(n int, one func(worker, i int) fleet.Answer) *load {
+func startLoad(n int, one func(worker, i int) fleet.Response) *load {
 	c, cancel := context.WithCancel(context.Background())
 	l := &load{cancel: cancel}
 	for w := 0; w < n; w++ {
@@ -343,7 +343,7 @@
 	return l
 }
 
-func (l *load) stop() []fleet.Answer {
+func (l *load) stop() []fleet.Response {
 	l.cancel()
 	l.wg.Wait()
 	return l.answers
@@ -361,7 +361,7 @@
 	return o
 }
 
-func summarise(answers []fleet.Answer) string {
+func summarise(answers []fleet.Response) string {
 	kinds := map[string]int{}
 	for _, a := range answers {
 		switch {
@@ -370,7 +370,7 @@
 		case a.Err != nil:
 			kinds["error: "+a.Err.Error()]++
 		default:
-			kinds[a.Kind]++
+			kinds[a.ErrorKind]++
 		}
 	}
 	return fmt.Sprint(kinds)
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -18,18 +18,18 @@
 // awaitRevision waits until a revision is in force on the named hosts.
 func (b *bed) awaitRevision(revision uint64, hosts ...string) {
 	for _, id := range hosts {
-		require.True(b.t, fleet.Until(inForceBound, func() bool { return b.status(id).Revision >= revision }),
+		require.True(b.t, fleet.WaitUntil(inForceBound, func() bool { return b.status(id).Revision >= revision }),
 			"revision %d is not in force on %s", revision, id)
 	}
 }
 
 // tierServed tells which deadline-free word a host gives on a tier: served or unknown_tier.
 func (b *bed) tierServed(id, tier string) string {
-	a := fleet.NewCaller(school).With("Fireflyshift-Tier", tier).Call(ctx(b.t), "GET", b.callers(id), "git", "x", nil)
+	a := fleet.NewCaller(school).WithHeader("Fireflyshift-Tier", tier).Call(ctx(b.t), "GET", b.callers(id), "git", "x", nil)
 	if a.OK() {
 		return "served"
 	}
-	return a.Kind
+	return a.ErrorKind
 }
 
 func (b *bed) grantTiers(tiers ...string) uint64 {
@@ -105,7 +105,7 @@
 	last := b.platform.PublishRaw(fleet.WorkspaceV2("cafe", "cafe-key", []string{"top"}, 50))
 	b.awaitRevision(last, b.order...)
 	for _, id := range b.order {
-		require.True(t, fleet.Until(patience, func() bool { return b.tierServed(id, "low") == "served" }), "the last good record stays in force")
+		require.True(t, fleet.WaitUntil(patience, func() bool { return b.tierServed(id, "low") == "served" }), "the last good record stays in force")
 		var why []string
 		for _, r := range b.status(id).Refused {
 			why = append(why, fmt.Sprint(r.Record, " ", r.Revision, " ", r.InForce, " ", r.Reason))
@@ -114,10 +114,10 @@
 		require.Contains(t, why[0]+why[1], "use schema 1 or 2")
 		require.Contains(t, why[0]+why[1], fmt.Sprint("workspace/school ", bad))
 	}
-	cafe := fleet.NewCaller("cafe-key").With("Fireflyshift-Tier", "top")
+	cafe := fleet.NewCaller("cafe-key").WithHeader("Fireflyshift-Tier", "top")
 	require.True(t, cafe.Call(ctx(t), "GET", b.callers("b1"), "git", "x", nil).OK(), "a record in the new side's schema")
 	b.awaitRevision(b.platform.Delete(record.KindWorkspace, "cafe"), b.order...)
-	require.Equal(t, "unknown_key", cafe.Call(ctx(t), "GET", b.callers("b1"), "git", "x", nil).Kind)
+	require.Equal(t, "unknown_key", cafe.Call(ctx(t), "GET", b.callers("b1"), "git", "x", nil).ErrorKind)
 	b.awaitRevision(b.platform.PublishRaw(fleet.WorkspaceV2("cafe", "cafe-key", []string{"top"}, 50)), b.order...)
 	require.True(t, cafe.Call(ctx(t), "GET", b.callers("b1"), "git", "x", nil).OK())
 	out, code := ctl("watch", "--revision", "1", "--host", b.specs["a1"].Admin, "--host", b.specs["b1"].Admin)
@@ -133,7 +133,7 @@
 	b := newBed(t, "a1")
 	b.platform.SetMode(platform.Mode{Down: true})
 	b.startHost("a1")
-	require.True(t, fleet.Until(patience, func() bool {
+	require.True(t, fleet.WaitUntil(patience, func() bool {
 		code, _, err := fleet.Get("http://" + b.specs["a1"].Admin + "/healthz")
 		return err == nil && code == 200
 	}))
@@ -153,18 +153,18 @@
 	b.addEngine("eb", "zone-b", fastEngine())
 	b.addPlain("git-a", "zone-a", time.Millisecond)
 	b.start()
-	far := func() fleet.Answer { return tiered("top").Call(ctx(t), "GET", b.callers("b1"), "git", "x", nil) }
-	require.True(t, fleet.Until(patience, func() bool { return far().OK() }), "zone-b reaches the server of zone-a")
+	far := func() fleet.Response { return tiered("top").Call(ctx(t), "GET", b.callers("b1"), "git", "x", nil) }
+	require.True(t, fleet.WaitUntil(patience, func() bool { return far().OK() }), "zone-b reaches the server of zone-a")
 	heal := b.cutZones("zone-a", "zone-b")
-	l := startLoad(8, func(worker, i int) fleet.Answer {
+	l := startLoad(8, func(worker, i int) fleet.Response {
 		return tiered("mid").Chat(ctx(t), b.callers(b.order[worker%4]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 	})
-	require.True(t, fleet.Until(patience, func() bool { return far().Kind == "no_backend" }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return far().ErrorKind == "no_backend" }))
 	require.Equal(t, "not run", far().Work)
 	before := l.count()
-	require.True(t, fleet.Until(patience, func() bool { return l.count() > before+100 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return l.count() > before+100 }))
 	heal()
-	require.True(t, fleet.Until(patience, func() bool { return far().OK() }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return far().OK() }))
 	answers := l.stop()
 	for _, a := range answers {
 		require.True(t, a.OK(), "%s", summarise(answers))
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -37,7 +37,7 @@
 		b.addEngine(name, zone, fastEngine()).SetMode(engine.Mode{Deadly: "deadly"})
 	}
 	b.start()
-	ask := func(i int, prompt string) fleet.Answer {
+	ask := func(i int, prompt string) fleet.Response {
 		return b.caller().Chat(ctx(t), b.callers(b.order[i%len(b.order)]), "notes", prompt, 30, true)
 	}
 	for i := 0; b.crashes() < endsAllowed; i++ {
--- a/test/dispatch_test.go
+++ b/test/dispatch_test.go
@@ -14,8 +14,8 @@
 )
 
 // post sends a non-idempotent operation with a ticket.
-func post(t *testing.T, host, ticket, operation string) fleet.Answer {
-	c := tiered("top").With("Fireflyshift-Idempotent", "no").With("Fireflyshift-Ticket", ticket).With("X-Operation", operation)
+func post(t *testing.T, host, ticket, operation string) fleet.Response {
+	c := tiered("top").WithHeader("Fireflyshift-Idempotent", "no").WithHeader("Fireflyshift-Ticket", ticket).WithHeader("X-Operation", operation)
 	return c.Call(ctx(t), "POST", host, "git", "grade-thread", []byte("well done"))
 }
 
@@ -27,13 +27,13 @@
 	s := b.addPlain("git-1", "zone-a", 500*time.Millisecond)
 	b.start()
 	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
-	first := make(chan fleet.Answer, 1)
+	first := make(chan fleet.Response, 1)
 	go func() { first <- post(t, b.callers("a1"), ticket, "note") }()
-	require.True(t, fleet.Until(patience, func() bool { return s.RunsByKey()["note"] == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return s.RunsByKey()["note"] == 1 }))
 	b.hosts["a1"].Kill()
 	require.False(t, (<-first).OK())
 	again := post(t, b.callers("a2"), ticket, "note")
-	require.Equal(t, "ticket_home_gone", again.Kind)
+	require.Equal(t, "ticket_home_gone", again.ErrorKind)
 	require.Equal(t, "may have run", again.Work)
 	require.Equal(t, 1, s.RunsByKey()["note"])
 }
@@ -46,10 +46,10 @@
 	b.start()
 	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
 	go post(t, b.callers("a2"), ticket, "note")
-	require.True(t, fleet.Until(patience, func() bool { return s.RunsByKey()["note"] == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return s.RunsByKey()["note"] == 1 }))
 	b.hosts["a2"].Kill()
 	again := post(t, b.callers("a3"), ticket, "note")
-	require.Equal(t, "ticket_in_progress", again.Kind)
+	require.Equal(t, "ticket_in_progress", again.ErrorKind)
 	require.Equal(t, "may have run", again.Work)
 	require.Equal(t, 1, s.RunsByKey()["note"])
 }
@@ -63,12 +63,12 @@
 	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
 	heal := b.cutZones("zone-a", "zone-b")
 	far := post(t, b.callers("b1"), ticket, "note")
-	require.Equal(t, "ticket_home_gone", far.Kind)
+	require.Equal(t, "ticket_home_gone", far.ErrorKind)
 	near := post(t, b.callers("a1"), ticket, "note")
 	require.True(t, near.OK(), "%+v", near)
 	heal()
-	require.True(t, fleet.Until(patience, func() bool {
-		return post(t, b.callers("b1"), ticket, "note").Kind == "ticket_done"
+	require.True(t, fleet.WaitUntil(patience, func() bool {
+		return post(t, b.callers("b1"), ticket, "note").ErrorKind == "ticket_done"
 	}), "after the heal the home says that the work ran")
 	require.Equal(t, 1, sa.RunsByKey()["note"]+sb.RunsByKey()["note"])
 }
@@ -81,21 +81,21 @@
 	s := b.addPlain("git-1", "zone-a", 5*time.Millisecond)
 	b.start()
 	sleeper := b.other("zone-a", b.scheduler("git", "zone-a"))
-	l := startLoad(8, func(worker, i int) fleet.Answer {
+	l := startLoad(8, func(worker, i int) fleet.Response {
 		if worker%2 == 0 {
 			return tiered("top").Call(ctx(t), "GET", b.callers(sleeper), "git", fmt.Sprint("stock/", i), nil)
 		}
 		return tiered("mid").Chat(ctx(t), b.callers(sleeper), "notes", fmt.Sprint("p", worker, i), 10, true)
 	})
-	require.True(t, fleet.Until(patience, func() bool { return l.count() > 40 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return l.count() > 40 }))
 	b.hosts[sleeper].Signal(syscall.SIGSTOP)
 	time.Sleep(4 * time.Second)
 	b.hosts[sleeper].Signal(syscall.SIGCONT)
 	before := l.count()
-	require.True(t, fleet.Until(patience, func() bool { return l.count() > before+40 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return l.count() > before+40 }))
 	for _, a := range l.stop() {
-		if !a.OK() && a.Work == "not run" && a.Request != "" {
-			require.Zero(t, b.engineRuns()[a.Request]+s.Runs()[a.Request], "request %s was said not to have run", a.Request)
+		if !a.OK() && a.Work == "not run" && a.RequestID != "" {
+			require.Zero(t, b.engineRuns()[a.RequestID]+s.Runs()[a.RequestID], "request %s was said not to have run", a.RequestID)
 		}
 	}
 	b.requireOnce()
@@ -109,17 +109,17 @@
 	b.start()
 	old := b.scheduler("notes", "zone-a")
 	entry := b.other("zone-a", old)
-	l := startLoad(6, func(worker, i int) fleet.Answer {
+	l := startLoad(6, func(worker, i int) fleet.Response {
 		return tiered("mid").Chat(ctx(t), b.callers(entry), "notes", fmt.Sprint("p", worker, i), 10, true)
 	})
-	require.True(t, fleet.Until(patience, func() bool { return l.count() > 20 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return l.count() > 20 }))
 	for round := 0; round < 2; round++ {
 		b.hosts[old].Signal(syscall.SIGSTOP)
 		before := l.count()
-		require.True(t, fleet.Until(patience, func() bool { return l.count() > before+20 }), "nobody took the duty")
+		require.True(t, fleet.WaitUntil(patience, func() bool { return l.count() > before+20 }), "nobody took the duty")
 		b.hosts[old].Signal(syscall.SIGCONT)
 		before = l.count()
-		require.True(t, fleet.Until(patience, func() bool { return l.count() > before+20 }))
+		require.True(t, fleet.WaitUntil(patience, func() bool { return l.count() > before+20 }))
 	}
 	answers := l.stop()
 	for _, a := range answers {
@@ -139,7 +139,7 @@
 	}
 	s.SetMode(plain.Mode{DieAfter: true})
 	a := tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "price", nil)
-	require.Equal(t, "outcome_unknown", a.Kind)
+	require.Equal(t, "outcome_unknown", a.ErrorKind)
 	require.Equal(t, "may have run", a.Work)
 	b.requireOnce()
 	require.Len(t, s.Runs(), 6)
@@ -158,11 +158,11 @@
 		require.Equal(t, "git-2", a.Backend)
 	}
 	b.toServer["git-2"].Stop()
-	call := func() fleet.Answer {
-		return tiered("top").With("Fireflyshift-Deadline-Ms", "1500").Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil)
+	call := func() fleet.Response {
+		return tiered("top").WithHeader("Fireflyshift-Deadline-Ms", "1500").Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil)
 	}
 	a := call()
-	if a.Kind == "outcome_unknown" {
+	if a.ErrorKind == "outcome_unknown" {
 		// The connection that was kept from the calls before closed as the request was written: that
 		// is no refused connection, and "may have run" is the true word. It is gone now.
 		require.Equal(t, "may have run", a.Work)
@@ -200,7 +200,7 @@
 	for i, mode := range []engine.Mode{{Short: true}, {Crossed: true}, {Gap: true}, {EarlyEnd: true}} {
 		e.SetMode(mode)
 		prompt := fmt.Sprint("prompt ", i)
-		a := tiered("mid").With("Fireflyshift-Deadline-Ms", "8000").Chat(ctx(t), b.callers("a1"), "notes", prompt, 30, true)
+		a := tiered("mid").WithHeader("Fireflyshift-Deadline-Ms", "8000").Chat(ctx(t), b.callers("a1"), "notes", prompt, 30, true)
 		require.True(t, a.OK(), "%+v", a)
 		require.Equal(t, expected(prompt, 30), a.Text)
 	}
@@ -227,13 +227,13 @@
 	b := newBed(t, "a1")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	done := make(chan fleet.Answer, 1)
+	done := make(chan fleet.Response, 1)
 	go func() { done <- tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "p", 2000, true) }()
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 1 }))
 	b.toServer["e1"].Stop()
 	a := <-done
 	require.False(t, a.OK())
-	require.Equal(t, "answer_cut", a.Kind)
+	require.Equal(t, "answer_cut", a.ErrorKind)
 	require.Equal(t, "may have run", a.Work)
 	b.requireOnce()
 }
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -30,31 +30,31 @@
 	b.start()
 	sleeper := b.other("zone-a", b.scheduler("notes", "zone-a"))
 	awake := b.other("zone-a", sleeper)
-	l := startLoad(12, func(worker, i int) fleet.Answer {
+	l := startLoad(12, func(worker, i int) fleet.Response {
 		return tiered("mid").Chat(ctx(t), b.callers([]string{awake, sleeper}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 	})
 	busy := func(engine string) func() bool {
 		before := b.totalRuns(engine)
 		return func() bool { return b.totalRuns(engine) > before+5 }
 	}
-	require.True(t, fleet.Until(patience, busy("e1")))
+	require.True(t, fleet.WaitUntil(patience, busy("e1")))
 	b.hosts[sleeper].Signal(syscall.SIGSTOP)
 	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.toServer["e1"].Listen, 8, "leaving"))
 	time.Sleep(leaveBound)
 	after := b.totalRuns("e1")
 	b.hosts[sleeper].Signal(syscall.SIGCONT)
-	require.True(t, fleet.Until(patience, busy("e2")))
+	require.True(t, fleet.WaitUntil(patience, busy("e2")))
 	require.Equal(t, after, b.totalRuns("e1"), "work after the bound, or from the host that woke up")
 
 	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.toServer["e1"].Listen, 8, "active"))
-	require.True(t, fleet.Until(patience, busy("e1")), "a server that returns gets work again")
+	require.True(t, fleet.WaitUntil(patience, busy("e1")), "a server that returns gets work again")
 	b.platform.SetHosts(b.hostRows(platform.Host{ID: "machine-1", Zone: "zone-a", Addr: b.toServer["e1"].Listen, Role: "backend", State: "leaving"}))
 	time.Sleep(leaveBound)
 	after = b.totalRuns("e1")
-	require.True(t, fleet.Until(patience, busy("e2")))
+	require.True(t, fleet.WaitUntil(patience, busy("e2")))
 	require.Equal(t, after, b.totalRuns("e1"), "the host list alone says that it is leaving")
 	for _, a := range l.stop() {
-		require.True(t, a.OK() || a.Kind != "", "%+v", a)
+		require.True(t, a.OK() || a.ErrorKind != "", "%+v", a)
 	}
 	b.requireOnce()
 }
@@ -122,7 +122,7 @@
 	b.addPlain("git-1", "zone-a", 3*time.Millisecond)
 	b.start()
 	lb := newBalancer(b)
-	l := startLoad(8, func(worker, i int) fleet.Answer {
+	l := startLoad(8, func(worker, i int) fleet.Response {
 		if worker%2 == 0 {
 			return tiered("top").Call(ctx(t), "GET", lb.pick(), "git", fmt.Sprint(i), nil)
 		}
@@ -154,14 +154,14 @@
 	b := newBed(t, "a1")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	done := make(chan fleet.Answer, 1)
+	done := make(chan fleet.Response, 1)
 	go func() { done <- tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "long", 1000, true) }()
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
-	var late fleet.Answer
-	require.True(t, fleet.Until(patience, func() bool {
+	var late fleet.Response
+	require.True(t, fleet.WaitUntil(patience, func() bool {
 		late = tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "late", 1, false)
-		return late.Kind == "draining"
+		return late.ErrorKind == "draining"
 	}))
 	require.Equal(t, "not run", late.Work)
 	require.NotEmpty(t, late.RetryAfter)
@@ -181,11 +181,11 @@
 		o.Step = 100 * time.Millisecond
 		b.addEngine("e1", "zone-a", o)
 		b.start()
-		done := make(chan fleet.Answer, 1)
+		done := make(chan fleet.Response, 1)
 		go func() {
-			done <- tiered("mid").With("Fireflyshift-Deadline-Ms", "600000").Chat(ctx(t), b.callers("a1"), "notes", "stuck", 5000, true)
+			done <- tiered("mid").WithHeader("Fireflyshift-Deadline-Ms", "600000").Chat(ctx(t), b.callers("a1"), "notes", "stuck", 5000, true)
 		}()
-		require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 1 }))
+		require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 1 }))
 		b.hosts["a1"].Signal(syscall.SIGTERM)
 		if second {
 			time.Sleep(600 * time.Millisecond)
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -41,7 +41,7 @@
 				sleeper = b.other("zone-a", sleeper)
 			}
 			awake := b.other("zone-a", sleeper)
-			l := startLoad(60, func(worker, i int) fleet.Answer {
+			l := startLoad(60, func(worker, i int) fleet.Response {
 				return tiered("mid").Chat(ctx(t), b.callers([]string{awake, sleeper}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 			})
 			rng := rand.New(rand.NewPCG(25, 1))
@@ -50,7 +50,7 @@
 				late += b.pauseBesideLeaving(sleeper, time.Duration(rng.IntN(40_000))*time.Microsecond)
 			}
 			for _, a := range l.stop() {
-				require.True(t, a.OK() || a.Kind != "", "%+v", a)
+				require.True(t, a.OK() || a.ErrorKind != "", "%+v", a)
 			}
 			b.requireOnce()
 			require.Zero(t, late, "requests begun by the leaving engine after the bound")
@@ -64,14 +64,14 @@
 		before := b.totalRuns(engine)
 		return func() bool { return b.totalRuns(engine) > before+more }
 	}
-	require.True(b.t, fleet.Until(patience, busy("e1", 20)))
+	require.True(b.t, fleet.WaitUntil(patience, busy("e1", 20)))
 	time.Sleep(after)
 	b.hosts[sleeper].Signal(syscall.SIGSTOP)
 	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.toServer["e1"].Listen, 8, "leaving"))
 	bound := time.Now().Add(leaveBound)
 	time.Sleep(time.Until(bound))
 	b.hosts[sleeper].Signal(syscall.SIGCONT)
-	require.True(b.t, fleet.Until(patience, busy("e2", 40)))
+	require.True(b.t, fleet.WaitUntil(patience, busy("e2", 40)))
 	late := 0
 	for id, at := range b.engines["e1"].Stats().Begun {
 		if at.After(bound) {
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -236,29 +236,29 @@
 	b.addEngine("e1", "zone-a", slow)
 	s := b.addPlain("git-1", "zone-a", time.Minute)
 	b.start()
-	answers := make(map[string]chan fleet.Answer)
-	ask := func(name string, call func(*fleet.Caller, context.Context) fleet.Answer) {
-		done := make(chan fleet.Answer, 1)
+	answers := make(map[string]chan fleet.Response)
+	ask := func(name string, call func(*fleet.Caller, context.Context) fleet.Response) {
+		done := make(chan fleet.Response, 1)
 		answers[name] = done
-		c := b.caller().With("Fireflyshift-Deadline-Ms", longDeadline)
+		c := b.caller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
 		go func() { done <- call(c, ctx(t)) }()
 	}
-	chat := func(prompt string, stream bool) func(*fleet.Caller, context.Context) fleet.Answer {
-		return func(c *fleet.Caller, ctx context.Context) fleet.Answer {
+	chat := func(prompt string, stream bool) func(*fleet.Caller, context.Context) fleet.Response {
+		return func(c *fleet.Caller, ctx context.Context) fleet.Response {
 			return c.Chat(ctx, b.callers("a1"), "notes", prompt, 5, stream)
 		}
 	}
-	ask("plain", func(c *fleet.Caller, ctx context.Context) fleet.Answer {
+	ask("plain", func(c *fleet.Caller, ctx context.Context) fleet.Response {
 		return c.Call(ctx, "GET", b.callers("a1"), "git", "stock", nil)
 	})
 	ask("chat", chat("one", false))
 	ask("stream", chat("two", true))
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 2 && len(s.Runs()) == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 2 && len(s.Runs()) == 1 }))
 	ask("waiting", chat("three", false))
-	require.True(t, fleet.Until(patience, func() bool { return b.status("a1").Requests == len(answers) }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Requests == len(answers) }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	if second {
-		require.True(t, fleet.Until(patience, func() bool { return b.status("a1").Draining }))
+		require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Draining }))
 		b.hosts["a1"].Signal(syscall.SIGTERM)
 	}
 	for name, done := range answers {
@@ -268,7 +268,7 @@
 		}
 		assert.True(t, a.Err == nil && a.Status >= http.StatusInternalServerError && a.Work == work, "%s: %+v", name, a)
 		if a.Work == notRun {
-			assert.Zero(t, b.engineRuns()[a.Request]+s.Runs()[a.Request], "%s: %+v", name, a)
+			assert.Zero(t, b.engineRuns()[a.RequestID]+s.Runs()[a.RequestID], "%s: %+v", name, a)
 		}
 	}
 	require.NoError(t, b.hosts["a1"].Wait(patience))
@@ -282,16 +282,16 @@
 	s := b.addPlain("git-1", "zone-a", time.Minute)
 	b.platform.PublishRaw(fleet.Backend("git-1", "git", "zone-a", b.toServer["git-1"].Listen, 1, "active"))
 	b.start()
-	patient := tiered("top").With("Fireflyshift-Deadline-Ms", longDeadline)
+	patient := tiered("top").WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
 	go patient.Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil) // takes the only place
-	require.True(t, fleet.Until(patience, func() bool { return len(s.Runs()) == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(s.Runs()) == 1 }))
 	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
-	first := make(chan fleet.Answer, 1)
+	first := make(chan fleet.Response, 1)
 	go func() {
-		first <- patient.With("Fireflyshift-Idempotent", "no").With("Fireflyshift-Ticket", ticket).
+		first <- patient.WithHeader("Fireflyshift-Idempotent", "no").WithHeader("Fireflyshift-Ticket", ticket).
 			Call(ctx(t), "POST", b.callers("a2"), "git", "grade-thread", []byte("well done"))
 	}()
-	require.True(t, fleet.Until(patience, func() bool { return b.status("a1").Tickets == 1 && b.status("a2").Requests == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Tickets == 1 && b.status("a2").Requests == 1 }))
 	b.hosts["a2"].Signal(syscall.SIGTERM)
 	assert.Equal(t, notRun, (<-first).Work)
 	require.NoError(t, b.hosts["a2"].Wait(patience))
@@ -308,16 +308,16 @@
 	o.Batch = 1
 	b.addEngine("e1", "zone-a", o)
 	b.start()
-	chat := func(prompt string, tokens int) chan fleet.Answer {
-		done := make(chan fleet.Answer, 1)
-		c := b.caller().With("Fireflyshift-Deadline-Ms", longDeadline)
+	chat := func(prompt string, tokens int) chan fleet.Response {
+		done := make(chan fleet.Response, 1)
+		c := b.caller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
 		go func() { done <- c.Chat(ctx(t), b.callers("a1"), "notes", prompt, tokens, false) }()
 		return done
 	}
 	first := chat("first", 500)
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 1 }))
 	second := chat("second", 5)
-	require.True(t, fleet.Until(patience, func() bool { return b.status("a1").Requests == 2 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Requests == 2 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	require.True(t, (<-first).OK())
 	a := <-second
@@ -330,9 +330,9 @@
 func TestHangupCutsNoRequest(t *testing.T) {
 	b := stopBed(t, time.Second)
 	s := b.plains["git-1"]
-	done := make(chan fleet.Answer, 1)
+	done := make(chan fleet.Response, 1)
 	go func() { done <- tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil) }()
-	require.True(t, fleet.Until(patience, func() bool { return len(s.Runs()) == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(s.Runs()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGHUP)
 	a := <-done
 	require.True(t, a.OK(), "%+v", a)
@@ -345,9 +345,9 @@
 	s := b.addPlain("git-1", "zone-a", 2*time.Second)
 	b.start()
 	go tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil) // keeps the host draining
-	require.True(t, fleet.Until(patience, func() bool { return len(s.Runs()) == 1 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(s.Runs()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
-	require.True(t, fleet.Until(patience, func() bool { return b.status("a1").Draining }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Draining }))
 	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
 	require.NoError(t, b.hosts["a1"].Wait(patience))
 	if ticket != "" { // a refusal sends the caller to another host
--- a/test/surface_test.go
+++ b/test/surface_test.go
@@ -63,19 +63,19 @@
 	before := len(s.Runs())
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			caller := fleet.NewCaller(school).With("Fireflyshift-Tier", "low")
+			caller := fleet.NewCaller(school).WithHeader("Fireflyshift-Tier", "low")
 			for k, v := range c.headers {
-				caller = caller.With(k, v)
+				caller = caller.WithHeader(k, v)
 			}
-			a := caller.Raw(ctx(t), "POST", "http://"+host+c.path, []byte(c.body))
+			a := caller.Do(ctx(t), "POST", "http://"+host+c.path, []byte(c.body))
 			require.Equal(t, c.status, a.Status, "%+v", a)
-			require.Equal(t, c.kind, a.Kind)
+			require.Equal(t, c.kind, a.ErrorKind)
 			require.Contains(t, a.Text, "; ", "the message names the remedy")
 			if c.kind != "ticket_home_gone" {
 				require.Equal(t, "not run", a.Work)
 			}
 			if c.kind == "ticket_required" {
-				again := caller.With("Fireflyshift-Ticket", a.Ticket).Raw(ctx(t), "POST", "http://"+host+c.path, nil)
+				again := caller.WithHeader("Fireflyshift-Ticket", a.Ticket).Do(ctx(t), "POST", "http://"+host+c.path, nil)
 				require.True(t, again.OK(), "%+v", again)
 				before++
 			}
@@ -104,7 +104,7 @@
 	b.start()
 	a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "p", 5, true)
 	require.True(t, a.OK())
-	out, code := ctl("explain", a.Request, "--host", b.specs["a2"].Admin, "--host", b.specs["a1"].Admin)
+	out, code := ctl("explain", a.RequestID, "--host", b.specs["a2"].Admin, "--host", b.specs["a1"].Admin)
 	require.Zero(t, code, out)
 	require.Contains(t, out, "dispatched to e1")
 	require.Contains(t, out, "complete answer from e1")
@@ -169,7 +169,7 @@
 	scheduler := b.scheduler("notes", "zone-a")
 	entry := b.other("zone-a", scheduler)
 	trace := "4bf92f3577b34da6a3ce929d0e0e4736"
-	c := tiered("mid").With("Traceparent", "00-"+trace+"-00f067aa0ba902b7-01")
+	c := tiered("mid").WithHeader("Traceparent", "00-"+trace+"-00f067aa0ba902b7-01")
 	require.True(t, c.Chat(ctx(t), b.callers(entry), "notes", "p", 5, true).OK())
 	for _, id := range b.order {
 		b.hosts[id].Signal(15)
@@ -203,7 +203,7 @@
 		b.extra = by.settings(t, b.dir, id)
 		b.startHost(id)
 	}
-	require.True(t, fleet.Until(patience, func() bool {
+	require.True(t, fleet.WaitUntil(patience, func() bool {
 		s := b.status("a1")
 		return len(s.Peers) == 2 && s.Peers[0].Alive
 	}), "%s", b.hosts["a1"].Log)
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -27,7 +27,7 @@
 	b.addEngine("e1", "zone-a", o)
 	b.addEngine("e2", "zone-a", o)
 	b.start()
-	low := make(chan fleet.Answer, 4)
+	low := make(chan fleet.Response, 4)
 	for i := 0; i < 4; i++ {
 		go func() {
 			prompt := fmt.Sprint("tag ", i)
@@ -38,7 +38,7 @@
 			low <- a
 		}()
 	}
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 4 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 4 }))
 	time.Sleep(100 * time.Millisecond)
 	a := tiered("top").Chat(ctx(t), b.callers("a1"), "notes", "urgent", 10, true)
 	require.True(t, a.OK(), "%+v", a)
@@ -65,14 +65,14 @@
 	b.start()
 	type result struct {
 		tier string
-		fleet.Answer
+		fleet.Response
 	}
 	results := make(chan result, 300)
 	tiers := []string{"low", "mid", "top"}
 	for i := 0; i < 300; i++ {
 		tier := tiers[min(2, i%10/4)] // 4 low, 4 mid, 2 top in ten
 		go func() {
-			c := tiered(tier).With("Fireflyshift-Deadline-Ms", "6000")
+			c := tiered(tier).WithHeader("Fireflyshift-Deadline-Ms", "6000")
 			results <- result{tier, c.Chat(ctx(t), b.callers([]string{"a1", "a2"}[i%2]), "notes", fmt.Sprint("p", i), 20, true)}
 		}()
 	}
@@ -84,10 +84,10 @@
 			continue
 		}
 		refused[r.tier]++
-		require.NotEmpty(t, r.Kind, "%+v", r.Answer)
+		require.NotEmpty(t, r.ErrorKind, "%+v", r.Response)
 		if r.Work == "not run" {
-			require.NotEmpty(t, r.RetryAfter, "%+v", r.Answer)
-			require.Zero(t, b.engineRuns()[r.Request])
+			require.NotEmpty(t, r.RetryAfter, "%+v", r.Response)
+			require.Zero(t, b.engineRuns()[r.RequestID])
 		}
 	}
 	require.Equal(t, 60, whole["top"], "whole %v, refused %v", whole, refused)
@@ -103,7 +103,7 @@
 	b.start()
 	old := b.scheduler("notes", "zone-a")
 	entry := b.other("zone-a", old)
-	answers := make(chan fleet.Answer, 60)
+	answers := make(chan fleet.Response, 60)
 	for i := 0; i < 60; i++ {
 		go func() {
 			prompt := fmt.Sprint("p", i)
@@ -114,7 +114,7 @@
 			answers <- a
 		}()
 	}
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) > 10 }))
+	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) > 10 }))
 	b.hosts[old].Kill()
 	for i := 0; i < 60; i++ {
 		a := <-answers
@@ -134,18 +134,18 @@
 	b.addEngine("e1", "zone-a", o)
 	b.start()
 	const callers = 2000
-	results := make(chan fleet.Answer, callers)
-	c := tiered("mid").With("Fireflyshift-Deadline-Ms", "5000")
+	results := make(chan fleet.Response, callers)
+	c := tiered("mid").WithHeader("Fireflyshift-Deadline-Ms", "5000")
 	c.Client.Transport.(*http.Transport).MaxConnsPerHost = 500
 	for i := 0; i < callers; i++ {
 		go func() { results <- c.Chat(ctx(t), b.callers("a1"), "notes", fmt.Sprint("p", i), 5, false) }()
 	}
-	var all []fleet.Answer
+	var all []fleet.Response
 	for i := 0; i < callers; i++ {
 		all = append(all, <-results)
 	}
 	for _, a := range all {
-		require.True(t, a.OK() || a.Kind != "", "%+v", a)
+		require.True(t, a.OK() || a.ErrorKind != "", "%+v", a)
 	}
 	resident := residentKB(t, b.hosts["a1"].Pid())
 	t.Logf("resident: %d KB", resident)
@@ -212,7 +212,7 @@
 	for i := 0; i < 3; i++ {
 		c, cancel := context.WithCancel(context.Background())
 		go tiered("mid").Chat(c, b.callers("a1"), "notes", fmt.Sprint("leaves ", i), 4000, true)
-		require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 2*i+1 }))
+		require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 2*i+1 }))
 		cancel()
 		a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "stays", 5, false)
 		require.True(t, a.OK(), "%+v", a)
@@ -231,8 +231,8 @@
 	b.start()
 	refused := 0
 	for i := 0; i < 10; i++ {
-		a := fleet.NewCaller("greedy-key").With("Fireflyshift-Tier", "top").Call(ctx(t), "GET", b.callers("a1"), "git", "x", nil)
-		if a.Kind == "rate_limited" {
+		a := fleet.NewCaller("greedy-key").WithHeader("Fireflyshift-Tier", "top").Call(ctx(t), "GET", b.callers("a1"), "git", "x", nil)
+		if a.ErrorKind == "rate_limited" {
 			refused++
 			require.Equal(t, http.StatusTooManyRequests, a.Status)
 			require.NotEmpty(t, a.RetryAfter)
