--- a/internal/router/beats.go
+++ b/internal/router/beats.go
@@ -99,7 +99,7 @@
 
 // emitHeartbeat sends a heartbeat to which fill adds optional parts. Each heartbeat replaces the previous one, so it always
 // carries the loads.
-func (r *Router) emitHeartbeat(to []string, fill func(*gossippb.Beat)) {
+func (r *Router) emitHeartbeat(to []string, addParts func(*gossippb.Beat)) {
 	if len(to) == 0 {
 		return
 	}
@@ -114,7 +114,7 @@
 	if !r.usesOwners() {
 		b.Failing = r.hashesOf(func(b *backend) bool { return b.isFailing() })
 	}
-	fill(b)
+	addParts(b)
 	r.emit(SendHeartbeat{To: to, Heartbeat: b})
 }
 
@@ -131,15 +131,15 @@
 			to = append(to, h)
 		}
 	}
-	var strangers []string
+	var unconfirmed []string
 	for h := range r.members.contactAt {
 		zone := r.members.zoneOf[h]
 		if r.members.byHost[h] == nil && (zone == "" || r.exchangesHeartbeats(zone)) {
-			strangers = append(strangers, h)
+			unconfirmed = append(unconfirmed, h)
 		}
 	}
-	slices.Sort(strangers)
-	for _, h := range strangers {
+	slices.Sort(unconfirmed)
+	for _, h := range unconfirmed {
 		if r.contactDue(h) {
 			to = append(to, h)
 		}
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -57,9 +57,9 @@
 	if ok {
 		r.updates.fingerprints -= known.fingerprint()
 	}
-	taken := &evacuation{e, r.now}
-	r.evacuations[e.Zone] = taken
-	r.updates.fingerprints += taken.fingerprint()
+	applied := &evacuation{e, r.now}
+	r.evacuations[e.Zone] = applied
+	r.updates.fingerprints += applied.fingerprint()
 	r.updates.revision = routing.Latest(r.updates.revision, e.Revision)
 	if was == !e.Ended {
 		return
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -177,8 +177,8 @@
 			r.emitHeartbeat([]string{b.Host}, func(reply *gossippb.Beat) { reply.Peers = r.peersFor(b.Zone) })
 		}
 	}
-	returned := m.unreachable
-	wasCut := returned && r.zoneUnreachable(m.zone)
+	wasUnreachable := m.unreachable
+	zoneWasCutOff := wasUnreachable && r.zoneUnreachable(m.zone)
 	if m.unreachable {
 		m.unreachable = false
 		r.membersChanged()
@@ -188,14 +188,14 @@
 		r.membersChanged()
 	}
 	m.seq, m.lastSeen, m.leaving, m.readsStore, m.listsStore = b.Seq, r.now, b.Leaving, b.ReadsStore, b.ListsStore
-	if wasCut {
+	if zoneWasCutOff {
 		r.zoneRecovered(m.zone)
 	}
 	r.applyLoads(m, b.Loads)
 	r.applyDead(m, b.Dead)
 	r.applyFailing(m, b.Failing)
 	r.applySpeeds(b.Speeds)
-	r.applySpent(m, b.Spent, returned)
+	r.applySpent(m, b.Spent, wasUnreachable)
 	r.applyZoneSummaries(m.zone, b.Zones)
 	r.applySuspects(b.Suspects)
 	r.applyLeaving(m.host, b.Leaves)
@@ -272,11 +272,11 @@
 	}
 }
 
-func (r *Router) applySpent(m *member, spent []*gossippb.Spent, returned bool) {
+func (r *Router) applySpent(m *member, spent []*gossippb.Spent, reconnected bool) {
 	for _, s := range spent {
 		m.spent[s.Workspace] = s.Amount
 		if q, ok := r.quotas[s.Workspace]; ok {
-			q.ApplyPeerTotal(limit.PeerTotal{Peer: m.quotaKey, Spent: float64(s.Amount), InZone: m.zone == r.opt.Zone, Reconnected: returned, RecentlyStarted: r.now-m.startedAt <= newHostDuration})
+			q.ApplyPeerTotal(limit.PeerTotal{Peer: m.quotaKey, Spent: float64(s.Amount), InZone: m.zone == r.opt.Zone, Reconnected: reconnected, RecentlyStarted: r.now-m.startedAt <= newHostDuration})
 			if q.NearlyExhausted() {
 				r.zones.quotaLowUntil = r.now + quotaLowDuration
 			}
--- a/internal/router/news.go
+++ b/internal/router/news.go
@@ -129,16 +129,16 @@
 
 // advanceCompleteTo records the revision up to which every change is known. A later era means that the store was restored
 // from an older copy of itself.
-func (r *Router) advanceCompleteTo(n Update, changed int) {
-	was := r.updates.completeTo
-	r.updates.completeTo = routing.Latest(was, n.AsOf)
-	if r.updates.completeTo.Era == was.Era {
+func (r *Router) advanceCompleteTo(n Update, changedBackends int) {
+	previous := r.updates.completeTo
+	r.updates.completeTo = routing.Latest(previous, n.AsOf)
+	if r.updates.completeTo.Era == previous.Era {
 		return
 	}
 	r.updates.eraSeenAt = r.now
 	// This announces the era to peers, even if the restored copy lists no backend server.
 	r.updates.revision = routing.Latest(r.updates.revision, routing.Revision{Era: r.updates.completeTo.Era})
-	if was == (routing.Revision{}) {
+	if previous == (routing.Revision{}) {
 		return // this host has just started
 	}
 	from := n.From
@@ -146,7 +146,7 @@
 		from = "store"
 	}
 	r.emit(Note{What: "store restored from an older copy", Subject: from,
-		Detail: fmt.Sprintf("revision %s after %s, %d backend servers changed", r.updates.completeTo, was, changed)})
+		Detail: fmt.Sprintf("revision %s after %s, %d backend servers changed", r.updates.completeTo, previous, changedBackends)})
 }
 
 // removeLostBackends removes the backend servers that the store lost when it was restored and that have not registered again.
@@ -353,16 +353,16 @@
 	}
 	// There may be gaps between completeTo and the highest revision, if a push was lost and a later one arrived.
 	newer := b.ConfigVersion > r.version() || routing.Revision{Era: b.Era, Number: b.Revision}.After(r.updates.completeTo)
-	wait, every := pullDelay, pullInterval
+	wait, interval := pullDelay, pullInterval
 	since := Since{Revision: r.updates.completeTo, Version: r.version()}
 	if !newer {
 		// Some change was missed before completeTo: pull everything.
-		wait, every, since = fullPullInterval, fullPullInterval, Since{}
+		wait, interval, since = fullPullInterval, fullPullInterval, Since{}
 	}
 	if r.table == nil {
 		wait = 0
 	}
-	if b.Digest == 0 || r.now-m.differsSince < wait || (r.updates.pulledAt > 0 && r.now-r.updates.pulledAt < every) {
+	if b.Digest == 0 || r.now-m.differsSince < wait || (r.updates.pulledAt > 0 && r.now-r.updates.pulledAt < interval) {
 		return
 	}
 	r.updates.pulledAt = r.now
--- a/internal/router/regions.go
+++ b/internal/router/regions.go
@@ -27,7 +27,7 @@
 	for _, region := range r.opt.Regions {
 		known[region] = true
 	}
-	note := func(what string, regions []string) {
+	logUnknown := func(what string, regions []string) {
 		for _, region := range regions {
 			if !known[region] {
 				known[region] = true // log it once
@@ -36,9 +36,9 @@
 		}
 	}
 	for _, route := range c.Routes {
-		note("route "+route.Name, route.Regions)
+		logUnknown("route "+route.Name, route.Regions)
 	}
 	for _, w := range c.Workspaces {
-		note("workspace "+w.Name, w.Regions)
+		logUnknown("workspace "+w.Name, w.Regions)
 	}
 }
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -140,7 +140,7 @@
 		r.emit(Note{What: "backend server registered again", Subject: b.ID, Detail: describe(ch.Backend), Age: r.now - b.removedAt})
 	}
 	r.dropFingerprint(b)
-	moved := b.Service != ch.Service || b.Zone != ch.Zone
+	listsChange := b.Service != ch.Service || b.Zone != ch.Zone
 	if b.Backend != ch.Backend || b.removed {
 		r.updates.changes++
 	}
@@ -150,7 +150,7 @@
 	b.Backend, b.revision, b.registeredRevision, b.removed = ch.Backend, ch.Revision, ch.Revision, false
 	delete(r.tombstones, b.ID)
 	r.updates.fingerprints += b.fingerprint()
-	if moved {
+	if listsChange {
 		r.invalidateBackendLists()
 	}
 }
--- a/internal/router/said.go
+++ b/internal/router/said.go
@@ -31,13 +31,13 @@
 }
 
 // markLeaving records that a backend server is about to shut down, as reported by the host that received the announcement.
-func (r *Router) markLeaving(b *backend, by string) {
+func (r *Router) markLeaving(b *backend, source string) {
 	if b.leaving {
 		return
 	}
 	b.leaving = true
 	r.heartbeatPending = true // others must learn at once: the server exits soon, along with the requests they still send there
-	r.emit(Note{What: "backend server announces that it is leaving", Subject: b.ID, Detail: by})
+	r.emit(Note{What: "backend server announces that it is leaving", Subject: b.ID, Detail: source})
 }
 
 // holdOff keeps this host's requests from a backend server for a time. Afterwards it gets one request at a time until
--- a/internal/router/view.go
+++ b/internal/router/view.go
@@ -70,8 +70,8 @@
 
 // state describes the state of a backend server for operators.
 func (b *backend) state(now time.Duration) string {
-	if why := b.excluded(now); why != notExcluded {
-		return string(why)
+	if reason := b.excluded(now); reason != notExcluded {
+		return string(reason)
 	}
 	switch {
 	case b.removed:
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -138,7 +138,7 @@
 	if !r.largeFleet() {
 		return known, reachable
 	}
-	own := known
+	ownZone := known
 	for _, z := range r.zones.summaries {
 		known += max(z.known, z.hosts)
 		if !z.stale {
@@ -148,7 +148,7 @@
 	if r.now < zoneDiscoveryDuration {
 		for _, zone := range r.otherZones() {
 			if r.zones.summaries[zone] == nil {
-				known += own
+				known += ownZone
 			}
 		}
 	}
@@ -316,8 +316,8 @@
 		z = &zoneSummary{zone: s.Zone}
 		r.zones.summaries[s.Zone] = z
 	}
-	returned := z.stale
-	if returned {
+	wasStale := z.stale
+	if wasStale {
 		r.zoneRecovered(s.Zone)
 	}
 	z.reporter, z.incarnation, z.seq, z.hosts, z.receivedAt = s.Speaker, s.Incarnation, s.Seq, int(s.Hosts), r.now
@@ -332,7 +332,7 @@
 	r.applyOwnerFailing(s.Failing)
 	for _, sp := range s.Spent {
 		if q, ok := r.quotas[sp.Workspace]; ok {
-			q.ApplyPeerTotal(limit.PeerTotal{Peer: z.key(), Spent: float64(sp.Amount), Reconnected: returned, RecentlyStarted: time.Duration(s.AgeMs)*time.Millisecond <= newHostDuration})
+			q.ApplyPeerTotal(limit.PeerTotal{Peer: z.key(), Spent: float64(sp.Amount), Reconnected: wasStale, RecentlyStarted: time.Duration(s.AgeMs)*time.Millisecond <= newHostDuration})
 		}
 	}
 	z.unrelayed = nil
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -149,7 +149,7 @@
 	{"router-queued-sample", "8", "internal/router/speed.go", "q.PromptTok >= minPromptTokens && !q.queued &&", "q.PromptTok >= minPromptTokens &&", routerTests},
 	{"router-told-speed", "8", "internal/router/speed.go", "		if b.samples == 0 {\n			b.interval", "		if true {\n			b.interval", routerTests},
 	{"bound-hall", "bound", "internal/bound/solve.go", "	for s := 0; s <= a; s++ {\n		for _, v", "	for s := a; s <= a; s++ {\n		for _, v", []string{"./internal/bound"}},
-	{"router-zone-back", "8", "internal/router/members.go", "	if wasCut {\n", "	if wasCut && false {\n", routerTests},
+	{"router-zone-back", "8", "internal/router/members.go", "	if zoneWasCutOff {\n", "	if zoneWasCutOff && false {\n", routerTests},
 	{"router-drain-back", "5", "internal/router/requests.go", "Cause: ShutDown, RetryAfter: DrainRetryAfter", "Cause: ShutDown, RetryAfter: r.retryAfter(q)", routerTests},
 	{"router-queue-share", "8", "internal/router/place.go", "extra > 0 && s.q.Route.Target > 0 {", "false {", routerTests},
 	{"router-name-start", "4", "internal/router/registrations.go", "		r.setStart(b, ch.Start)\n", "		b.Start = ch.Start\n", routerTests},
