--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -3,12 +3,12 @@
 // go, from the loads that hosts report in heartbeats, and exchanges no message per request. In a large fleet a host
 // requests a slot from the host that owns the backend server, and decides alone if the owner does not answer.
 //
-// Each file covers one concern: members (other hosts), news (updates of configuration and backend servers),
-// registrations and backends (state of each backend server), zones (summaries between availability zones), peers (peer
-// exchange), reading (which hosts read the store), beats (heartbeats), requests (life cycle of a request), place (choice of
+// Each file covers one concern: members (other hosts), updates (configuration and backend servers, from the store or a
+// peer), registrations and backends (state of each backend server), zones (summaries between availability zones), peers
+// (peer exchange), reading (which hosts read the store), heartbeats, requests (life cycle of a request), place (choice of
 // a backend server), owners (which host owns which backend server), ask and grant (slot requests and their answers),
-// quotas (quota owners), and cold, failing, evacuations, regions and said (reasons to send a backend server few requests
-// or none).
+// quotas (quota owners), and cold, failing, evacuations, regions and announcements (reasons to send a backend server few
+// requests or none).
 package router
 
 import (
