--- a/internal/router/heartbeats.go
+++ b/internal/router/heartbeats.go
@@ -43,7 +43,7 @@
 	peerExchangeIntervalPerHost = 80 * time.Millisecond
 )
 
-// formatBase36 formats a number as compactly as identifiers in messages need it.
+// formatBase36 formats the number of a start or an incarnation for keys and hashes.
 func formatBase36(n uint64) string { return strconv.FormatUint(n, 36) }
 
 // sendHeartbeats sends a heartbeat to all hosts that this one exchanges heartbeats with.
@@ -97,7 +97,7 @@
 	}
 }
 
-// emitHeartbeat sends a heartbeat to which fill adds optional parts. Each heartbeat replaces the previous one, so it always
+// emitHeartbeat sends a heartbeat to which addParts adds optional fields. Each heartbeat replaces the previous one, so it always
 // carries the loads.
 func (r *Router) emitHeartbeat(to []string, addParts func(*gossippb.Beat)) {
 	if len(to) == 0 {
--- a/internal/router/registrations.go
+++ b/internal/router/registrations.go
@@ -44,8 +44,8 @@
 // backend server was removed. The store was then restored from a copy made before the removal, which is no sign that the
 // server is back: one that is alive registers anew, under another revision.
 func (r *Router) isStaleCopy(b *backend, ch routing.BackendChange) bool {
-	wentBefore := b.removed && ch.Revision.Era > b.removedRevision.Era
-	return wentBefore && ch.Revision.Number == b.registeredRevision.Number
+	removedBefore := b.removed && ch.Revision.Era > b.removedRevision.Era
+	return removedBefore && ch.Revision.Number == b.registeredRevision.Number
 }
 
 // setStart records which start of a backend server is registered, so that other hosts' reports on it are matched.
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -292,7 +292,7 @@
 	{"core-quarantine-trial", "ends", "internal/core/suspects.go", "c.isTrialHost(d) && ", "", coreSuspectTests},
 	{"edge-proved-end", "ends", "internal/edge/chat.go", "ended := unknownStream(err) || upstream.IsRefused(err)", "ended := false && unknownStream(err)", processTests("DeadlyPrompt")},
 	{"era-order", "8", "internal/routing/revision.go", "cmp.Or(cmp.Compare(r.Era, o.Era), cmp.Compare(r.Number, o.Number))", "cmp.Compare(r.Number, o.Number)", eraTests},
-	{"era-copy-of-gone", "4", "internal/router/registrations.go", "	return wentBefore && ", "	return false && wentBefore && ", eraTests},
+	{"era-copy-of-gone", "4", "internal/router/registrations.go", "	return removedBefore && ", "	return false && removedBefore && ", eraTests},
 	{"era-copy-ready", "4", "internal/router/registrations.go", "if b.Draining && !ch.Draining && ch.Revision.Era > b.revision.Era {", "if false {", eraTests},
 	{"era-lost-lives", "8", "internal/router/updates.go", "b.revision.Era < n.AsOf.Era // by", "false // by", eraTests},
 	{"era-lost-ends", "8", "internal/router/updates.go", "if !b.removed && b.revision.Era < era {", "if false {", eraTests},
