--- a/internal/router/exhaustive_test.go
+++ b/internal/router/exhaustive_test.go
@@ -21,7 +21,7 @@
 	sends    int
 }
 
-// check checks the effects of one event.
+// check verifies the effects of one event.
 func (l *lifecycle) check(path string, list []Effect) {
 	for _, e := range list {
 		switch e.(type) {
@@ -128,7 +128,7 @@
 		}
 		walk(nil)
 	}
-	t.Logf("%d lives", sequences)
+	t.Logf("%d sequences", sequences)
 }
 
 // permute calls f with every permutation of n indices.
