--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -247,7 +247,7 @@
 	time.Sleep(faultAt)
 	switch fault {
 	case "slow engine":
-		r.engines["zone-0-e0"].SetMode(engine.Mode{Slow: 4})
+		r.engines["zone-0-e0"].SetMode(engine.Mode{SlowFactor: 4})
 	case "host killed":
 		s := r.specs[0]
 		r.hosts[s.ID].Kill()
--- a/internal/standin/engine/cut_test.go
+++ b/internal/standin/engine/cut_test.go
@@ -11,15 +11,16 @@
 	product "fireflyshift/internal/engine"
 )
 
-// A host that is short of processor time lags behind an engine whose connections break every seven tokens. Each
-// time it takes the stream up, seven tokens or more are ready. They were counted as sent and dropped with the
-// connection, unflushed, so that no try got further, and the caller's answer ended as cut.
+// Guards against a stand-in engine that loses the tokens before a cut. A host short of CPU lags behind an engine whose
+// connections break every seven tokens, so seven or more tokens are ready whenever it reattaches. Those tokens were
+// counted as sent but dropped unflushed with the connection, so no attempt made progress and the caller's response
+// was cut.
 func TestCutDeliversWhatCameBefore(t *testing.T) {
 	e := New(DefaultOptions())
 	defer e.Close()
-	s := &sequence{id: "late", seed: Seed("late"), want: 60, produced: 60, ended: true, changed: make(chan struct{}), lastRead: time.Now()}
+	s := &sequence{id: "late", seed: Seed("late"), wantTokens: 60, produced: 60, ended: true, changed: make(chan struct{}), lastRead: time.Now()}
 	e.mu.Lock()
-	e.seqs[s.id] = s
+	e.sequences[s.id] = s
 	e.mu.Unlock()
 	e.SetMode(Mode{CutEvery: 7})
 	srv := httptest.NewServer(e.Handler())
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,7 +1,7 @@
-// Package engine is a small stand-in for a model engine: continuous batching with a step time, a
-// bounded prefix cache whose events come late and with gaps, a lagging load report, cancel, resume
-// at an offset, and export and import of KV cache. It can slow down, freeze or cut its answers on
-// command. It is not part of the product.
+// Package engine is a stand-in for a model engine, for tests. It simulates continuous batching with a step time, a
+// bounded prefix cache whose events are delayed and have gaps, a delayed load report, cancellation, reattaching to a
+// stream at an offset, and export and import of the KV cache. On command it slows down, freezes, crashes or returns
+// faulty responses.
 package engine
 
 import (
@@ -16,62 +16,62 @@
 	product "fireflyshift/internal/engine"
 )
 
-// Options describe an engine.
+// Options configure an engine.
 type Options struct {
 	Model string
-	// Batch is how many requests run at once; more wait inside, in order of arrival.
+	// Batch is the number of requests that run at once. Further ones wait inside the engine in order of arrival.
 	Batch int
-	// Step is the time of one step with one request; each further one adds StepPerSeq.
+	// Step is the duration of a step with one request; each further request adds StepPerSeq.
 	Step       time.Duration
 	StepPerSeq time.Duration
-	// PrefillPerStep is how many prompt tokens one step can take in.
+	// PrefillPerStep is the number of prompt tokens that one step can prefill.
 	PrefillPerStep int
-	// CacheEntries bounds the prefix cache.
+	// CacheEntries is the capacity of the prefix cache, in prefixes.
 	CacheEntries int
-	// ReportLag is how old the load report and the cache events are.
+	// ReportLag is the delay of the load report and of the cache events.
 	ReportLag time.Duration
-	// EventGap drops every n-th cache event; zero drops none.
+	// EventGap, if not zero, drops every n-th cache event.
 	EventGap int
-	// StreamGrace is how long a stream goes on after its reader is gone.
+	// StreamGrace is how long a stream continues after its client has disconnected.
 	StreamGrace time.Duration
 }
 
-// DefaultOptions are those of a middling engine.
+// DefaultOptions returns the options of an engine of medium speed.
 func DefaultOptions() Options {
 	return Options{Model: "m", Batch: 8, Step: 5 * time.Millisecond, StepPerSeq: 100 * time.Microsecond, PrefillPerStep: 512,
 		CacheEntries: 512, ReportLag: 300 * time.Millisecond, EventGap: 7, StreamGrace: 3 * time.Second}
 }
 
-// sequence is one request inside the engine.
+// sequence is one request in the engine.
 type sequence struct {
-	id        string
-	seed      uint64
-	prompt    int // tokens
-	cached    int // prompt tokens found in the cache
-	prefilled int
-	want      int // tokens of the whole answer
-	produced  int
-	imported  bool
-	ended     bool
-	suspended bool
-	readers   int
-	lastRead  time.Time
-	hashes    []uint64
-	changed   chan struct{}
-	started   time.Time
-	delivered int
+	id           string
+	seed         uint64
+	prompt       int // tokens
+	cachedPrompt int // prompt tokens found in the cache
+	prefilled    int
+	wantTokens   int // tokens of the complete response
+	produced     int
+	imported     bool
+	ended        bool
+	suspended    bool
+	readers      int
+	lastRead     time.Time
+	hashes       []uint64
+	changed      chan struct{}
+	started      time.Time
+	delivered    int
 }
 
-func (s *sequence) wake() {
+func (s *sequence) notify() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Stats count what the engine did.
+// Stats are the engine's counters.
 type Stats struct {
-	Runs map[string]int `json:"runs"` // by request id
-	// Begun is when each request was first begun, by request id.
-	Begun           map[string]time.Time `json:"begun"`
+	Runs map[string]int `json:"runs"` // by request ID
+	// StartedAt is when each request started for the first time, by request ID.
+	StartedAt       map[string]time.Time `json:"begun"`
 	PrefillComputed int64                `json:"prefill_computed"`
 	PrefillWasted   int64                `json:"prefill_wasted"`
 	TokensProduced  int64                `json:"tokens_produced"`
@@ -84,37 +84,37 @@
 	MaxRunning      int                  `json:"max_running"`
 }
 
-func newStats() Stats { return Stats{Runs: map[string]int{}, Begun: map[string]time.Time{}} }
+func newStats() Stats { return Stats{Runs: map[string]int{}, StartedAt: map[string]time.Time{}} }
 
-// Mode is how the engine misbehaves.
+// Mode selects the engine's faults. The zero value has none.
 type Mode struct {
-	Slow     float64 `json:"slow"`      // factor on the step time; zero means 1
-	Frozen   bool    `json:"frozen"`    // no step, no answer to new calls
-	CutEvery int     `json:"cut_every"` // cuts the connection after this many tokens
-	Short    bool    `json:"short"`     // ends answers early without an end mark, once each
-	Crossed  bool    `json:"crossed"`   // sends one chunk under another request's id
-	Gap      bool    `json:"gap"`       // leaves one token out on each connection
-	EarlyEnd bool    `json:"early_end"` // sends [DONE] early, once each
-	Deadly   string  `json:"deadly"`    // a prompt with this text ends the engine, which starts again at once
+	SlowFactor     float64 `json:"slow"`      // factor on the step time; values up to 1 have no effect
+	Frozen         bool    `json:"frozen"`    // runs no steps, and does not respond to reattaching
+	CutEvery       int     `json:"cut_every"` // cuts the connection after this many tokens
+	Truncate       bool    `json:"short"`     // ends each response early once, without an end mark
+	WrongRequestID bool    `json:"crossed"`   // sends one chunk with another request's ID on each connection
+	SkipToken      bool    `json:"gap"`       // omits one token on each connection
+	EarlyDone      bool    `json:"early_end"` // sends [DONE] early, once per request
+	CrashText      string  `json:"deadly"`    // a prompt that contains this text crashes the engine, which restarts at once
 }
 
-// Engine is the stand-in. Its methods are safe for concurrent use.
+// Engine is a stand-in for a model engine. Its methods are safe for concurrent use.
 type Engine struct {
-	opt     Options
-	mu      sync.Mutex
-	seqs    map[string]*sequence
-	batch   []*sequence
-	waiting []*sequence
-	stats   Stats
-	mode    Mode
-	cache   *list.List
-	cached  map[uint64]*list.Element
-	evicted []eviction
-	nextEv  uint64
-	reports []report
-	stop    chan struct{}
-	done    chan struct{}
-	kick    chan struct{}
+	opt          Options
+	mu           sync.Mutex
+	sequences    map[string]*sequence
+	batch        []*sequence
+	waiting      []*sequence
+	stats        Stats
+	mode         Mode
+	cache        *list.List
+	cacheIndex   map[uint64]*list.Element
+	evicted      []eviction
+	lastEviction uint64
+	reports      []loadReport
+	stop         chan struct{}
+	done         chan struct{}
+	kick         chan struct{}
 }
 
 type eviction struct {
@@ -123,43 +123,43 @@
 	hash uint64
 }
 
-type report struct {
+type loadReport struct {
 	at               time.Time
 	running, waiting int
 }
 
-// New starts an engine; Close ends it.
+// New returns a running engine. Close stops it.
 func New(opt Options) *Engine {
-	e := &Engine{opt: opt, seqs: map[string]*sequence{}, stats: newStats(), cache: list.New(),
-		cached: map[uint64]*list.Element{}, stop: make(chan struct{}), done: make(chan struct{}), kick: make(chan struct{}, 1)}
+	e := &Engine{opt: opt, sequences: map[string]*sequence{}, stats: newStats(), cache: list.New(),
+		cacheIndex: map[uint64]*list.Element{}, stop: make(chan struct{}), done: make(chan struct{}), kick: make(chan struct{}, 1)}
 	go e.loop()
 	return e
 }
 
-// Close stops the steps.
+// Close stops the engine's steps and waits until the current one has ended.
 func (e *Engine) Close() {
 	close(e.stop)
 	<-e.done
 }
 
-// SetMode makes the engine misbehave, or behave again.
+// SetMode replaces the active faults.
 func (e *Engine) SetMode(m Mode) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.mode = m
 }
 
-// Stats copies the counts.
+// Stats returns a copy of the counters.
 func (e *Engine) Stats() Stats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s := e.stats
-	s.Runs, s.Begun = maps.Clone(e.stats.Runs), maps.Clone(e.stats.Begun)
+	s.Runs, s.StartedAt = maps.Clone(e.stats.Runs), maps.Clone(e.stats.StartedAt)
 	s.Running, s.Waiting = len(e.batch), len(e.waiting)
 	return s
 }
 
-// ResetStats begins a new count.
+// ResetStats sets all counters to zero.
 func (e *Engine) ResetStats() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -184,7 +184,8 @@
 	}
 }
 
-// step advances every request in the batch by one token, or by a piece of its prompt.
+// step runs one step, which advances every request in the batch by one token or by a part of its prefill. It returns
+// the step's duration.
 func (e *Engine) step() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -201,38 +202,38 @@
 	for _, s := range e.batch {
 		budget = e.advance(s, budget)
 	}
-	e.sweep()
-	e.report()
+	e.removeFinished()
+	e.recordLoad()
 	d := e.opt.Step + time.Duration(max(0, len(e.batch)-1))*e.opt.StepPerSeq
-	if e.mode.Slow > 1 {
-		d = time.Duration(float64(d) * e.mode.Slow)
+	if e.mode.SlowFactor > 1 {
+		d = time.Duration(float64(d) * e.mode.SlowFactor)
 	}
 	return d
 }
 
 func (e *Engine) advance(s *sequence, budget int) int {
-	if missing := s.prompt - s.cached - s.prefilled; missing > 0 {
-		n := min(budget, missing)
+	if remaining := s.prompt - s.cachedPrompt - s.prefilled; remaining > 0 {
+		n := min(budget, remaining)
 		s.prefilled += n
 		e.stats.PrefillComputed += int64(n)
-		if s.prefilled+s.cached >= s.prompt {
-			e.remember(s.hashes)
+		if s.prefilled+s.cachedPrompt >= s.prompt {
+			e.cachePrefixes(s.hashes)
 		}
 		return budget - n
 	}
-	if s.produced < s.want {
+	if s.produced < s.wantTokens {
 		s.produced++
 		e.stats.TokensProduced++
 	}
-	if s.produced >= s.want {
+	if s.produced >= s.wantTokens {
 		s.ended = true
 	}
-	s.wake()
+	s.notify()
 	return budget
 }
 
-// sweep takes finished requests out of the batch.
-func (e *Engine) sweep() {
+// removeFinished removes finished and suspended requests from the batch.
+func (e *Engine) removeFinished() {
 	kept := e.batch[:0]
 	for _, s := range e.batch {
 		if !s.ended && !s.suspended {
@@ -242,30 +243,30 @@
 	e.batch = kept
 }
 
-// expire cancels what nobody reads any more, and forgets old answers.
+// expire removes requests that have had no client for StreamGrace, and cancels those still running.
 func (e *Engine) expire() {
-	for id, s := range e.seqs {
+	for id, s := range e.sequences {
 		if s.readers > 0 || time.Since(s.lastRead) < e.opt.StreamGrace {
 			continue
 		}
-		e.drop(s)
-		delete(e.seqs, id)
+		e.discard(s)
+		delete(e.sequences, id)
 	}
 }
 
-// drop ends a request; what it computed and nobody got is wasted.
-func (e *Engine) drop(s *sequence) {
-	if !s.ended && !s.suspended || s.delivered < s.want && !s.suspended {
+// discard ends a request. Its work counts as wasted unless the response was delivered or the request suspended.
+func (e *Engine) discard(s *sequence) {
+	if !s.ended && !s.suspended || s.delivered < s.wantTokens && !s.suspended {
 		e.stats.PrefillWasted += int64(s.prefilled)
 		e.stats.TokensWasted += int64(s.produced)
 	}
 	s.ended = true
-	e.batch = without(e.batch, s)
-	e.waiting = without(e.waiting, s)
-	s.wake()
+	e.batch = remove(e.batch, s)
+	e.waiting = remove(e.waiting, s)
+	s.notify()
 }
 
-func without(list []*sequence, s *sequence) []*sequence {
+func remove(list []*sequence, s *sequence) []*sequence {
 	out := list[:0]
 	for _, v := range list {
 		if v != s {
@@ -275,27 +276,27 @@
 	return out
 }
 
-func (e *Engine) report() {
-	e.reports = append(e.reports, report{time.Now(), len(e.batch), len(e.waiting)})
+func (e *Engine) recordLoad() {
+	e.reports = append(e.reports, loadReport{time.Now(), len(e.batch), len(e.waiting)})
 	for len(e.reports) > 1 && time.Since(e.reports[1].at) > e.opt.ReportLag {
 		e.reports = e.reports[1:]
 	}
 }
 
-// remember puts prefixes into the cache and evicts the least recently used.
-func (e *Engine) remember(hashes []uint64) {
+// cachePrefixes adds prefixes to the cache and evicts the least recently used ones.
+func (e *Engine) cachePrefixes(hashes []uint64) {
 	for _, h := range hashes {
-		if el, ok := e.cached[h]; ok {
+		if el, ok := e.cacheIndex[h]; ok {
 			e.cache.MoveToBack(el)
 			continue
 		}
-		e.cached[h] = e.cache.PushBack(h)
+		e.cacheIndex[h] = e.cache.PushBack(h)
 		if e.cache.Len() > e.opt.CacheEntries {
 			old := e.cache.Remove(e.cache.Front()).(uint64)
-			delete(e.cached, old)
-			e.nextEv++
-			if e.opt.EventGap == 0 || e.nextEv%uint64(e.opt.EventGap) != 0 {
-				e.evicted = append(e.evicted, eviction{e.nextEv, time.Now(), old})
+			delete(e.cacheIndex, old)
+			e.lastEviction++
+			if e.opt.EventGap == 0 || e.lastEviction%uint64(e.opt.EventGap) != 0 {
+				e.evicted = append(e.evicted, eviction{e.lastEviction, time.Now(), old})
 			}
 			if len(e.evicted) > 4096 {
 				e.evicted = e.evicted[1:]
@@ -304,68 +305,67 @@
 	}
 }
 
-// lookup is how many prompt tokens the cache holds.
-func (e *Engine) lookup(hashes []uint64, prompt int) int {
+// cachedTokens returns the number of prompt tokens whose prefix is cached.
+func (e *Engine) cachedTokens(hashes []uint64, prompt int) int {
 	const firstBlock = 64
 	for i := len(hashes) - 1; i >= 0; i-- {
-		if _, ok := e.cached[hashes[i]]; ok {
+		if _, ok := e.cacheIndex[hashes[i]]; ok {
 			return min(prompt, firstBlock<<i)
 		}
 	}
 	return 0
 }
 
-// begin admits a request; it reports false if the id runs already.
-func (e *Engine) begin(id, prompt string, want int) (*sequence, bool) {
+// admit adds a request to the queue. It returns false, with the existing request, if the ID is already known.
+func (e *Engine) admit(id, prompt string, want int) (*sequence, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.Runs[id]++
 	if e.stats.Runs[id] == 1 {
-		e.stats.Begun[id] = time.Now()
+		e.stats.StartedAt[id] = time.Now()
 	}
-	if s, ok := e.seqs[id]; ok {
+	if s, ok := e.sequences[id]; ok {
 		return s, false
 	}
 	tokens := len(prompt)/product.BytesPerToken + 1
-	s := &sequence{id: id, seed: Seed(prompt), prompt: tokens, want: want, hashes: product.PrefixHashes(prompt),
+	s := &sequence{id: id, seed: Seed(prompt), prompt: tokens, wantTokens: want, hashes: product.PrefixHashes(prompt),
 		changed: make(chan struct{}), started: time.Now(), lastRead: time.Now()}
-	s.cached = e.lookup(s.hashes, tokens)
-	e.seqs[id] = s
+	s.cachedPrompt = e.cachedTokens(s.hashes, tokens)
+	e.sequences[id] = s
 	e.waiting = append(e.waiting, s)
-	if e.mode.Deadly != "" && strings.Contains(prompt, e.mode.Deadly) {
-		time.AfterFunc(deadlyAfter, e.crash)
+	if e.mode.CrashText != "" && strings.Contains(prompt, e.mode.CrashText) {
+		time.AfterFunc(crashDelay, e.crash)
 	}
 	return s, true
 }
 
-// deadlyAfter is how long a deadly prompt runs before it ends the engine.
-const deadlyAfter = 20 * time.Millisecond
+// crashDelay is how long a prompt with Mode.CrashText runs before the engine crashes.
+const crashDelay = 20 * time.Millisecond
 
-// crash ends all that runs, as an end of the process does from which the next start follows at once: the streams are cut and
-// unknown afterwards.
+// crash simulates a crash of the process with an immediate restart: all streams are cut and unknown afterwards.
 func (e *Engine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.Crashes++
-	for id, s := range e.seqs {
-		e.drop(s)
-		delete(e.seqs, id)
+	for id, s := range e.sequences {
+		e.discard(s)
+		delete(e.sequences, id)
 	}
 }
 
-// Seed makes an answer a function of its prompt, so that a test can tell whose answer it is.
+// Seed derives the seed of a response from its prompt, so that a test can check which prompt a response belongs to.
 func Seed(prompt string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(prompt))
 	return h.Sum64()
 }
 
-// Token is the i-th token of the answer to a prompt with this seed.
+// Token returns the i-th token of the response with this seed.
 func Token(seed uint64, i int) string {
 	return strconv.FormatUint((seed>>(uint(i)%32))%9973, 36) + "-" + strconv.Itoa(i) + " "
 }
 
-// Answer is the whole answer to a prompt.
+// Answer returns the complete response to a prompt.
 func Answer(prompt string, tokens int) string {
 	seed := Seed(prompt)
 	out := ""
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -11,8 +11,8 @@
 	product "fireflyshift/internal/engine"
 )
 
-// state is what an export holds.
-type state struct {
+// kvState is the part of a suspended request's state that an export contains.
+type kvState struct {
 	Seed     uint64   `json:"seed"`
 	Prompt   int      `json:"prompt"`
 	Want     int      `json:"want"`
@@ -20,9 +20,9 @@
 	Hashes   []uint64 `json:"hashes"`
 }
 
-type exported struct {
-	KV     state `json:"kv"`
-	Offset int   `json:"offset"`
+type exportBody struct {
+	KV     kvState `json:"kv"`
+	Offset int     `json:"offset"`
 }
 
 type chatBody struct {
@@ -44,7 +44,7 @@
 	return out.String()
 }
 
-// Handler serves the engine's protocol, and the test's commands under /control.
+// Handler serves the engine's protocol, and the commands of tests under /control.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.serveChat)
@@ -54,13 +54,13 @@
 	mux.HandleFunc("POST /v1/streams/{id}/import", e.serveImport)
 	mux.HandleFunc("GET /load", e.serveLoad)
 	mux.HandleFunc("GET /cache/events", e.serveEvents)
-	mux.HandleFunc("GET /control/stats", func(w http.ResponseWriter, _ *http.Request) { reply(w, e.Stats()) })
+	mux.HandleFunc("GET /control/stats", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.Stats()) })
 	mux.HandleFunc("POST /control/mode", func(w http.ResponseWriter, r *http.Request) {
 		var m Mode
 		if json.NewDecoder(r.Body).Decode(&m) == nil {
 			e.SetMode(m)
 		}
-		reply(w, m)
+		writeJSON(w, m)
 	})
 	return mux
 }
@@ -74,9 +74,9 @@
 	if b.MaxTokens <= 0 {
 		b.MaxTokens = 256
 	}
-	s, fresh := e.begin(r.Header.Get("X-Request-Id"), b.prompt(), b.MaxTokens)
-	if !fresh {
-		http.Error(w, "this id runs already", http.StatusConflict)
+	s, admitted := e.admit(r.Header.Get("X-Request-Id"), b.prompt(), b.MaxTokens)
+	if !admitted {
+		http.Error(w, "a request with this id is already running", http.StatusConflict)
 		return
 	}
 	e.stream(w, r, s, 0)
@@ -85,7 +85,7 @@
 func (e *Engine) serveReattach(w http.ResponseWriter, r *http.Request) {
 	offset, _ := strconv.Atoi(r.URL.Query().Get("offset"))
 	e.mu.Lock()
-	s, ok := e.seqs[r.PathValue("id")]
+	s, ok := e.sequences[r.PathValue("id")]
 	frozen := e.mode.Frozen
 	e.mu.Unlock()
 	if frozen {
@@ -102,9 +102,9 @@
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if s, ok := e.seqs[r.PathValue("id")]; ok {
-		e.drop(s)
-		delete(e.seqs, s.id)
+	if s, ok := e.sequences[r.PathValue("id")]; ok {
+		e.discard(s)
+		delete(e.sequences, s.id)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -112,37 +112,37 @@
 func (e *Engine) serveSuspend(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s, ok := e.seqs[r.PathValue("id")]
+	s, ok := e.sequences[r.PathValue("id")]
 	if !ok || s.ended || s.suspended {
 		http.Error(w, "not running", http.StatusConflict)
 		return
 	}
 	s.suspended = true
-	e.batch = without(e.batch, s)
-	e.waiting = without(e.waiting, s)
+	e.batch = remove(e.batch, s)
+	e.waiting = remove(e.waiting, s)
 	e.stats.Suspended++
-	s.wake()
-	reply(w, exported{state{s.seed, s.prompt, s.want, s.produced, s.hashes}, s.produced})
+	s.notify()
+	writeJSON(w, exportBody{kvState{s.seed, s.prompt, s.wantTokens, s.produced, s.hashes}, s.produced})
 }
 
 func (e *Engine) serveImport(w http.ResponseWriter, r *http.Request) {
-	var x exported
+	var x exportBody
 	if err := json.NewDecoder(r.Body).Decode(&x); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	id := r.PathValue("id")
 	e.mu.Lock()
-	s := &sequence{id: id, seed: x.KV.Seed, prompt: x.KV.Prompt, cached: x.KV.Prompt, want: x.KV.Want, produced: x.KV.Produced,
+	s := &sequence{id: id, seed: x.KV.Seed, prompt: x.KV.Prompt, cachedPrompt: x.KV.Prompt, wantTokens: x.KV.Want, produced: x.KV.Produced,
 		hashes: x.KV.Hashes, imported: true, changed: make(chan struct{}), started: time.Now(), lastRead: time.Now()}
-	e.seqs[id] = s
+	e.sequences[id] = s
 	e.waiting = append(e.waiting, s)
 	e.stats.Imported++
 	e.mu.Unlock()
 	e.stream(w, r, s, x.Offset)
 }
 
-// stream writes tokens from an offset as they are produced.
+// stream writes tokens, starting at an offset, as they are produced.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, offset int) {
 	e.mu.Lock()
 	s.readers++
@@ -159,38 +159,38 @@
 	for {
 		e.mu.Lock()
 		produced, ended, suspended, changed := s.produced, s.ended, s.suspended, s.changed
-		known := e.seqs[s.id] == s
+		registered := e.sequences[s.id] == s
 		e.mu.Unlock()
 		for ; offset < produced; offset++ {
 			if mode.CutEvery > 0 && sent >= mode.CutEvery {
-				flush(w) // what was sent before the cut has left
+				flush(w) // deliver the tokens before the cut
 				panic(http.ErrAbortHandler)
 			}
 			id, text := s.id, Token(s.seed, offset)
-			if mode.Crossed && sent == 2 {
+			if mode.WrongRequestID && sent == 2 {
 				id, text = "another-request", "another workspace's text"
 			}
-			if !mode.Gap || sent != 2 {
-				e.chunk(w, id, offset, text, "")
+			if !mode.SkipToken || sent != 2 {
+				e.writeChunk(w, id, offset, text, "")
 			}
 			sent++
-			if mode.EarlyEnd && offset == 3 && !s.imported {
-				s.imported = true // only once
+			if mode.EarlyDone && offset == 3 && !s.imported {
+				s.imported = true // only once per request
 				fmt.Fprint(w, "data: [DONE]\n\n")
 				return
 			}
-			if mode.Short && offset == 3 && !s.imported {
-				s.imported = true // only once, so that the reader can take the stream up again
+			if mode.Truncate && offset == 3 && !s.imported {
+				s.imported = true // only once per request, so that the client can reattach to the stream
 				return
 			}
 		}
 		flush(w)
 		if suspended {
-			e.chunk(w, s.id, offset, "", "suspended")
+			e.writeChunk(w, s.id, offset, "", "suspended")
 			return
 		}
 		if ended {
-			e.finish(w, s, offset, known)
+			e.finish(w, s, offset, registered)
 			return
 		}
 		select {
@@ -207,18 +207,18 @@
 	}
 }
 
-func (e *Engine) finish(w http.ResponseWriter, s *sequence, offset int, known bool) {
-	if !known || s.produced < s.want {
-		panic(http.ErrAbortHandler) // canceled: nobody may take this for a whole answer
+func (e *Engine) finish(w http.ResponseWriter, s *sequence, offset int, registered bool) {
+	if !registered || s.produced < s.wantTokens {
+		panic(http.ErrAbortHandler) // canceled: abort, so that the client does not take the response for complete
 	}
-	e.chunk(w, s.id, offset, "", "stop")
+	e.writeChunk(w, s.id, offset, "", "stop")
 	fmt.Fprint(w, "data: [DONE]\n\n")
 	e.mu.Lock()
-	s.delivered = s.want
+	s.delivered = s.wantTokens
 	e.mu.Unlock()
 }
 
-func (e *Engine) chunk(w http.ResponseWriter, id string, offset int, text, finish string) {
+func (e *Engine) writeChunk(w http.ResponseWriter, id string, offset int, text, finish string) {
 	c := product.Chunk{ID: id, Offset: offset, Model: e.opt.Model, Choices: []product.Choice{{Delta: product.Delta{Content: text}}}}
 	if finish != "" {
 		c.Choices[0].FinishReason = &finish
@@ -231,11 +231,11 @@
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var old report
+	var old loadReport
 	if len(e.reports) > 0 {
 		old = e.reports[0]
 	}
-	reply(w, product.Load{Running: old.running, Waiting: old.waiting})
+	writeJSON(w, product.Load{Running: old.running, Waiting: old.waiting})
 }
 
 func (e *Engine) serveEvents(w http.ResponseWriter, r *http.Request) {
@@ -249,10 +249,10 @@
 			out.Next = ev.seq
 		}
 	}
-	reply(w, out)
+	writeJSON(w, out)
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts real daemons and stand-ins on loopback, for the demo, the tests and the
-// measurements. It is not part of the product.
+// Package fleet starts daemons and stand-ins on loopback for the demo, the tests and the measurements, and provides a
+// client for them.
 package fleet
 
 import (
@@ -20,8 +20,8 @@
 	"time"
 )
 
-// Ports are taken below the range that the kernel gives to outgoing connections, so that none of
-// those can take a port between the choice and the bind.
+// Ports are chosen below the kernel's ephemeral range, so that no outgoing connection can take a port between its choice
+// and the bind.
 const (
 	firstPort = 12000
 	lastPort  = 31000
@@ -29,7 +29,7 @@
 
 var nextPort atomic.Int64
 
-// FreeAddr finds a free loopback address.
+// FreeAddr returns a loopback address with a free port.
 func FreeAddr() string {
 	nextPort.CompareAndSwap(0, int64(firstPort+(os.Getpid()*97)%(lastPort-firstPort-3000)))
 	for {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Process is a child of the test or demo.
+// Process is a child process.
 type Process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -55,7 +55,7 @@
 	Log  *LogBuffer
 }
 
-// LogBuffer is a concurrent, bounded log.
+// LogBuffer keeps the first maxLogBytes of a log. It is safe for concurrent use.
 type LogBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -63,7 +63,7 @@
 
 const maxLogBytes = 8 << 20
 
-// Write keeps the start of the log.
+// Write appends p, or discards it once the buffer is full. It never fails.
 func (b *LogBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,14 +73,14 @@
 	return len(p), nil
 }
 
-// String is what was logged.
+// String returns the log kept so far.
 func (b *LogBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.buf.String()
 }
 
-// Start runs a program.
+// Start starts a program as a child process that logs to Log.
 func Start(program string, args ...string) (*Process, error) {
 	p := &Process{cmd: exec.Command(program, args...), done: make(chan struct{}), Log: &LogBuffer{}}
 	p.cmd.Stdout, p.cmd.Stderr = p.Log, p.Log
@@ -94,30 +94,30 @@
 	return p, nil
 }
 
-// Pid is the process id.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
 // Signal sends a signal, for example syscall.SIGSTOP.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Kill ends the process at once and waits for it.
+// Kill ends the process with SIGKILL, also if it is stopped by SIGSTOP, and waits for it.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Wait returns the process's end, or an error after the timeout.
+// Wait waits until the process has ended and returns its exit error. It also returns an error after the timeout.
 func (p *Process) Wait(timeout time.Duration) error {
 	select {
 	case <-p.done:
 		return p.err
 	case <-time.After(timeout):
-		return fmt.Errorf("process %d still runs after %s", p.Pid(), timeout)
+		return fmt.Errorf("process %d is still running after %s", p.Pid(), timeout)
 	}
 }
 
-// HostSpec describes a daemon to start.
+// HostSpec is the configuration of a daemon. Callers, Peers and Admin are its listen addresses.
 type HostSpec struct {
 	ID, Zone              string
 	Callers, Peers, Admin string
@@ -126,15 +126,15 @@
 	Seeds                 []string
 	Routes                []string // ID=IP:PORT
 	Threads               int
-	Extra                 string // further INI text
+	Extra                 string // appended to the INI text
 }
 
-// NewHostSpec fills the addresses.
+// NewHostSpec returns a specification with free listen addresses.
 func NewHostSpec(id, zone, platform string) HostSpec {
 	return HostSpec{ID: id, Zone: zone, Callers: FreeAddr(), Peers: FreeAddr(), Admin: FreeAddr(), Platform: platform}
 }
 
-// INI is the settings file of the host.
+// INI returns the content of the host's settings file.
 func (h HostSpec) INI() string {
 	advertise := h.Advertise
 	if advertise == "" {
@@ -161,7 +161,7 @@
 `, h.ID, h.Zone, h.Threads, h.Callers, h.Peers, h.Admin, advertise, h.Platform, strings.Join(h.Seeds, ","), strings.Join(h.Routes, ","), h.Extra)
 }
 
-// StartHost writes the settings into dir and runs the daemon.
+// StartHost writes the host's settings file into dir and starts the daemon with it.
 func StartHost(program, dir string, h HostSpec) (*Process, error) {
 	path := filepath.Join(dir, h.ID+".ini")
 	if err := os.WriteFile(path, []byte(h.INI()), 0o600); err != nil {
@@ -172,7 +172,7 @@
 
 var httpClient = &http.Client{Timeout: 2 * time.Second}
 
-// Get reads a URL and reports its status and body.
+// Get requests a URL and returns the status code and body.
 func Get(url string) (int, string, error) {
 	resp, err := httpClient.Get(url)
 	if err != nil {
@@ -183,7 +183,7 @@
 	return resp.StatusCode, string(data), err
 }
 
-// Post sends JSON to a URL.
+// Post sends v as JSON to a URL. Any status but 200 is an error.
 func Post(url string, v any) error {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// WaitUntil repeats a check until it is true or the timeout has passed.
+// WaitUntil repeats a check every 20 ms until it returns true, or returns false after the timeout.
 func WaitUntil(timeout time.Duration, check func() bool) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -216,7 +216,7 @@
 	}
 }
 
-// Ready waits until a host says that it is ready.
+// Ready waits until the host with this admin address is ready, or returns false after the timeout.
 func Ready(timeout time.Duration, admin string) bool {
 	return WaitUntil(timeout, func() bool {
 		code, _, err := Get("http://" + admin + "/readyz")
@@ -224,13 +224,13 @@
 	})
 }
 
-// Serve runs a handler on a free loopback address until stop is called.
+// Serve serves a handler on a free loopback address until stop is called.
 func Serve(h http.Handler) (addr string, stop func()) {
 	addr = FreeAddr()
 	return addr, ServeAt(addr, h)
 }
 
-// ServeAt runs a handler on an address until stop is called.
+// ServeAt serves a handler on an address until stop is called. It panics if it cannot listen there.
 func ServeAt(addr string, h http.Handler) (stop func()) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is a small stand-in for a plain service, as a git web side or a stock catalogue.
-// It counts every run by request id. It is not part of the product.
+// Package plain is a stand-in for a plain service, for example a git web interface or a product catalogue, for tests.
+// It counts the runs of each request.
 package plain
 
 import (
@@ -11,36 +11,36 @@
 	"time"
 )
 
-// Mode is how the service misbehaves.
+// Mode selects the service's faults. The zero value has none.
 type Mode struct {
-	Short     bool `json:"short"`      // ends bodies before their declared length
-	Cut       bool `json:"cut"`        // cuts the connection in the middle of a body of unknown length
+	Truncate  bool `json:"short"`      // ends bodies before their declared length
+	CutBody   bool `json:"cut"`        // cuts the connection in the middle of a body of unknown length
 	DieAfter  bool `json:"die_after"`  // runs the work, then cuts the connection without an answer
 	DieBefore bool `json:"die_before"` // cuts the connection before the work runs
 }
 
-// Service is the stand-in. Its methods are safe for concurrent use.
+// Service is a stand-in for a plain service. Its methods are safe for concurrent use.
 type Service struct {
-	work  time.Duration
-	mu    sync.Mutex
-	runs  map[string]int
-	keys  map[string]int
-	mode  Mode
-	total int
+	duration  time.Duration
+	mu        sync.Mutex
+	runs      map[string]int
+	runsByKey map[string]int
+	mode      Mode
+	total     int
 }
 
-// New returns a service whose calls take a fixed time.
+// New returns a service whose calls take the given time.
 func New(work time.Duration) *Service {
-	return &Service{work: work, runs: map[string]int{}, keys: map[string]int{}}
+	return &Service{duration: work, runs: map[string]int{}, runsByKey: map[string]int{}}
 }
 
-// Runs copies the runs by the request id that the system gave.
-func (s *Service) Runs() map[string]int { return s.copyOf(s.runs) }
+// Runs returns the number of runs by the request ID that the host assigned.
+func (s *Service) Runs() map[string]int { return s.snapshot(s.runs) }
 
-// RunsByKey copies the runs by the caller's operation, its X-Operation header.
-func (s *Service) RunsByKey() map[string]int { return s.copyOf(s.keys) }
+// RunsByKey returns the number of runs by the caller's X-Operation header.
+func (s *Service) RunsByKey() map[string]int { return s.snapshot(s.runsByKey) }
 
-func (s *Service) copyOf(m map[string]int) map[string]int {
+func (s *Service) snapshot(m map[string]int) map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]int, len(m))
@@ -50,14 +50,14 @@
 	return out
 }
 
-// SetMode makes the service misbehave, or behave again.
+// SetMode replaces the active faults.
 func (s *Service) SetMode(m Mode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
 }
 
-// Handler serves any path, and the test's commands under /control.
+// Handler serves any path, with the commands of tests under /control.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /control/stats", func(w http.ResponseWriter, _ *http.Request) {
@@ -83,22 +83,22 @@
 	}
 	s.runs[r.Header.Get("X-Request-Id")]++
 	if k := r.Header.Get("X-Operation"); k != "" {
-		s.keys[k]++
+		s.runsByKey[k]++
 	}
 	s.total++
 	n := s.total
 	s.mu.Unlock()
-	time.Sleep(s.work)
+	time.Sleep(s.duration)
 	if mode.DieAfter {
 		panic(http.ErrAbortHandler)
 	}
 	answer := fmt.Sprintf("%s %s body=%d run=%d", r.Method, r.URL.Path, len(body), n)
-	if mode.Cut {
+	if mode.CutBody {
 		_, _ = io.WriteString(w, answer[:len(answer)/2])
 		w.(http.Flusher).Flush()
 		panic(http.ErrAbortHandler)
 	}
-	if mode.Short {
+	if mode.Truncate {
 		w.Header().Set("Content-Length", fmt.Sprint(len(answer)+100))
 	}
 	_, _ = io.WriteString(w, answer)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,5 @@
-// Package platform is a small stand-in for the operators' platform: a configuration service and a
-// lagging host list that can be read and watched, and made down, stale or slow on command. It is
-// not part of the product.
+// Package platform is a stand-in for the operators' platform, for tests. It provides a configuration service and a host
+// list that lags, both with reads and watches. On command it becomes unavailable, stale or slow.
 package platform
 
 import (
@@ -16,10 +15,10 @@
 	"fireflyshift/internal/record"
 )
 
-// callsPerSecond is the service's limit over all readers; a waiting watch counts as one call.
-const callsPerSecond = 2000
+// maxCallsPerSecond is the rate limit over all clients. A watch counts as one call, however long it waits.
+const maxCallsPerSecond = 2000
 
-// Host is one row of the host list.
+// Host is one entry of the host list.
 type Host struct {
 	ID    string `json:"id"`
 	Zone  string `json:"zone"`
@@ -28,26 +27,26 @@
 	State string `json:"state"`
 }
 
-// Mode is how the service misbehaves.
+// Mode selects the platform's faults. The zero value has none.
 type Mode struct {
 	Down bool `json:"down"`
-	// StaleBefore serves what stood before a revision; zero serves what stands.
+	// StaleBefore, if not zero, hides this and later revisions.
 	StaleBefore uint64 `json:"stale_before"`
 	SlowMS      int    `json:"slow_ms"`
 	LagMS       int    `json:"hosts_lag_ms"`
 }
 
-// Platform is the stand-in. Its methods are safe for concurrent use.
+// Platform is a stand-in for the platform. Its methods are safe for concurrent use.
 type Platform struct {
-	mu       sync.Mutex
-	revision uint64
-	log      []record.Raw
-	hosts    []hostVersion
-	mode     Mode
-	changed  chan struct{}
-	limit    *rate.Limiter
-	calls    int64
-	refused  int64
+	mu        sync.Mutex
+	revision  uint64
+	published []record.Raw
+	hosts     []hostVersion
+	mode      Mode
+	changed   chan struct{}
+	limit     *rate.Limiter
+	calls     int64
+	overLimit int64
 }
 
 type hostVersion struct {
@@ -59,10 +58,10 @@
 // New returns an empty platform.
 func New() *Platform {
 	return &Platform{changed: make(chan struct{}),
-		limit: rate.NewLimiter(callsPerSecond, callsPerSecond), hosts: []hostVersion{{}}}
+		limit: rate.NewLimiter(maxCallsPerSecond, maxCallsPerSecond), hosts: []hostVersion{{}}}
 }
 
-// Publish stores a record as an operator would, and returns its revision.
+// Publish stores a record with the JSON of body, as an operator would, and returns its revision.
 func (p *Platform) Publish(kind record.Kind, name string, schema uint32, body any) uint64 {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -71,18 +70,18 @@
 	return p.PublishRaw(record.Raw{Kind: kind, Name: name, Schema: schema, Body: data})
 }
 
-// PublishRaw stores a record unchecked, under the next revision.
+// PublishRaw stores a record without validation, assigns it the next revision and returns that.
 func (p *Platform) PublishRaw(r record.Raw) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.revision++
 	r.Revision = p.revision
-	p.log = append(p.log, r)
-	p.wake()
+	p.published = append(p.published, r)
+	p.notify()
 	return p.revision
 }
 
-// Delete stores a deletion, which is a revision too.
+// Delete marks a record as deleted and returns the revision of the deletion.
 func (p *Platform) Delete(kind record.Kind, name string) uint64 {
 	return p.PublishRaw(record.Raw{Kind: kind, Name: name, Schema: 1, Deleted: true})
 }
@@ -93,33 +92,34 @@
 	defer p.mu.Unlock()
 	last := p.hosts[len(p.hosts)-1]
 	p.hosts = append(p.hosts, hostVersion{last.version + 1, time.Now(), hosts})
-	p.wake()
+	p.notify()
 }
 
-// SetMode makes the service misbehave, or behave again.
+// SetMode replaces the active faults.
 func (p *Platform) SetMode(m Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = m
-	p.wake()
+	p.notify()
 }
 
-// Calls counts the calls that were counted against the limit, and those over it.
+// Calls returns the number of calls that counted against the rate limit, and how many of them exceeded it.
 func (p *Platform) Calls() (calls, refused int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.calls, p.refused
+	return p.calls, p.overLimit
 }
 
-func (p *Platform) wake() {
+func (p *Platform) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// visible lists the newest revision of each record, as far as the mode lets readers see.
-func (p *Platform) visible() (records []record.Raw, revision uint64) {
+// visibleRecords returns the latest visible revision of each record in order of revision, and the highest visible
+// revision.
+func (p *Platform) visibleRecords() (records []record.Raw, revision uint64) {
 	latest := map[record.Key]record.Raw{}
-	for _, r := range p.log {
+	for _, r := range p.published {
 		if p.mode.StaleBefore > 0 && r.Revision >= p.mode.StaleBefore {
 			break
 		}
@@ -133,25 +133,25 @@
 	return records, revision
 }
 
-// Handler serves readers under /v1 and the test's commands under /control.
+// Handler serves the platform's API under /v1 and the commands of tests under /control.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("GET /v1/records", p.limited(p.serveRecords))
-	mux.Handle("GET /v1/hosts", p.limited(p.serveHosts))
+	mux.Handle("GET /v1/records", p.rateLimited(p.serveRecords))
+	mux.Handle("GET /v1/hosts", p.rateLimited(p.serveHosts))
 	mux.HandleFunc("POST /control/publish", p.controlPublish)
 	mux.HandleFunc("POST /control/hosts", p.controlHosts)
 	mux.HandleFunc("POST /control/mode", p.controlMode)
 	return mux
 }
 
-func (p *Platform) limited(next http.HandlerFunc) http.Handler {
+func (p *Platform) rateLimited(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		p.mu.Lock()
 		mode := p.mode
 		p.calls++
 		allowed := p.limit.Allow()
 		if !allowed {
-			p.refused++
+			p.overLimit++
 		}
 		p.mu.Unlock()
 		if mode.SlowMS > 0 {
@@ -162,25 +162,25 @@
 			return
 		}
 		if !allowed {
-			http.Error(w, "over the rate", http.StatusTooManyRequests)
+			http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
 		next(w, r)
 	})
 }
 
-func params(r *http.Request) (after uint64, wait time.Duration) {
+func watchParams(r *http.Request) (after uint64, wait time.Duration) {
 	after, _ = strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait"))
 	return after, time.Duration(ms) * time.Millisecond
 }
 
 func (p *Platform) serveRecords(w http.ResponseWriter, r *http.Request) {
-	after, wait := params(r)
+	after, wait := watchParams(r)
 	deadline := time.Now().Add(wait)
 	for {
 		p.mu.Lock()
-		all, revision := p.visible()
+		all, revision := p.visibleRecords()
 		down, changed := p.mode.Down, p.changed
 		p.mu.Unlock()
 		if down {
@@ -193,28 +193,28 @@
 				newer = append(newer, rec)
 			}
 		}
-		if len(newer) > 0 || !waitFor(r, changed, deadline) {
-			reply(w, map[string]any{"revision": revision, "records": newer})
+		if len(newer) > 0 || !waitForChange(r, changed, deadline) {
+			writeJSON(w, map[string]any{"revision": revision, "records": newer})
 			return
 		}
 	}
 }
 
 func (p *Platform) serveHosts(w http.ResponseWriter, r *http.Request) {
-	after, wait := params(r)
+	after, wait := watchParams(r)
 	deadline := time.Now().Add(wait)
 	for {
 		p.mu.Lock()
 		v, changed := p.visibleHosts(), p.changed
 		p.mu.Unlock()
-		if v.version > after || !waitFor(r, changed, deadline) {
-			reply(w, map[string]any{"version": v.version, "hosts": v.hosts})
+		if v.version > after || !waitForChange(r, changed, deadline) {
+			writeJSON(w, map[string]any{"version": v.version, "hosts": v.hosts})
 			return
 		}
 	}
 }
 
-// visibleHosts is the newest list that is older than the lag.
+// visibleHosts returns the latest list that is at least as old as the lag.
 func (p *Platform) visibleHosts() hostVersion {
 	lag := time.Duration(p.mode.LagMS) * time.Millisecond
 	for i := len(p.hosts) - 1; i > 0; i-- {
@@ -225,8 +225,9 @@
 	return p.hosts[0]
 }
 
-// waitFor waits for a change, and reports false when the watch is over.
-func waitFor(r *http.Request, changed <-chan struct{}, deadline time.Time) bool {
+// waitForChange waits for a change, or for a short time because lagging data becomes visible without one. It returns
+// false when the watch has ended.
+func waitForChange(r *http.Request, changed <-chan struct{}, deadline time.Time) bool {
 	const lagPoll = 50 * time.Millisecond
 	left := time.Until(deadline)
 	if left <= 0 {
@@ -247,7 +248,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply(w, map[string]uint64{"revision": p.PublishRaw(rec)})
+	writeJSON(w, map[string]uint64{"revision": p.PublishRaw(rec)})
 }
 
 func (p *Platform) controlHosts(w http.ResponseWriter, r *http.Request) {
@@ -257,7 +258,7 @@
 		return
 	}
 	p.SetHosts(hosts)
-	reply(w, len(hosts))
+	writeJSON(w, len(hosts))
 }
 
 func (p *Platform) controlMode(w http.ResponseWriter, r *http.Request) {
@@ -267,10 +268,10 @@
 		return
 	}
 	p.SetMode(m)
-	reply(w, m)
+	writeJSON(w, m)
 }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -34,7 +34,7 @@
 func TestDeadlyPromptIsKeptFromEngines(t *testing.T) {
 	b := newBed(t, "a1", "a2", "b1", "b2")
 	for name, zone := range map[string]string{"e1": "zone-a", "e2": "zone-a", "e3": "zone-b", "e4": "zone-b"} {
-		b.addEngine(name, zone, fastEngine()).SetMode(engine.Mode{Deadly: "deadly"})
+		b.addEngine(name, zone, fastEngine()).SetMode(engine.Mode{CrashText: "deadly"})
 	}
 	b.start()
 	ask := func(i int, prompt string) fleet.Response {
--- a/test/dispatch_test.go
+++ b/test/dispatch_test.go
@@ -197,7 +197,7 @@
 	b := newBed(t, "a1")
 	e := b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	for i, mode := range []engine.Mode{{Short: true}, {Crossed: true}, {Gap: true}, {EarlyEnd: true}} {
+	for i, mode := range []engine.Mode{{Truncate: true}, {WrongRequestID: true}, {SkipToken: true}, {EarlyDone: true}} {
 		e.SetMode(mode)
 		prompt := fmt.Sprint("prompt ", i)
 		a := tiered("mid").WithHeader("Fireflyshift-Deadline-Ms", "8000").Chat(ctx(t), b.callers("a1"), "notes", prompt, 30, true)
@@ -213,7 +213,7 @@
 	b := newBed(t, "a1")
 	s := b.addPlain("git-1", "zone-a", time.Millisecond)
 	b.start()
-	for _, mode := range []plain.Mode{{Short: true}, {Cut: true}} {
+	for _, mode := range []plain.Mode{{Truncate: true}, {CutBody: true}} {
 		s.SetMode(mode)
 		a := tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "prices", nil)
 		require.False(t, a.OK(), "%+v", a)
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -73,7 +73,7 @@
 	b.hosts[sleeper].Signal(syscall.SIGCONT)
 	require.True(b.t, fleet.WaitUntil(patience, busy("e2", 40)))
 	late := 0
-	for id, at := range b.engines["e1"].Stats().Begun {
+	for id, at := range b.engines["e1"].Stats().StartedAt {
 		if at.After(bound) {
 			late++
 			b.explainLate(sleeper, id, at, bound)
