--- a/internal/router/updates.go
+++ b/internal/router/updates.go
@@ -163,10 +163,10 @@
 }
 
 const (
-	// maxPush limits the changes of backend servers in one datagram, to some 2 KB.
-	maxPush = 8
-	// maxPushes limits the datagrams of one push; hosts pull the remaining changes.
-	maxPushes = 8
+	// maxChangesPerPush limits the changes of backend servers in one datagram, to some 2 KB.
+	maxChangesPerPush = 8
+	// maxPushDatagrams limits the datagrams of one push; hosts pull the remaining changes.
+	maxPushDatagrams = 8
 )
 
 // pushChanges sends changes just read from the store to the zone peers at once, in a fleet where few hosts read it.
@@ -175,8 +175,8 @@
 		return
 	}
 	pushes := 0
-	for part := range slices.Chunk(c.Backends, maxPush) {
-		if pushes++; pushes > maxPushes {
+	for part := range slices.Chunk(c.Backends, maxChangesPerPush) {
+		if pushes++; pushes > maxPushDatagrams {
 			return
 		}
 		data, err := json.Marshal(part)
