--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -156,20 +156,20 @@
 		hosts := rapid.SampledFrom([]int{1, 2, 4, 9, 17}).Draw(rt, "hosts a zone")
 		perSecond := rapid.SampledFrom([]int{50, 200, 500}).Draw(rt, "requests a second")
 		f := newColdFleet(t, zones, hosts, 3)
-		cut := rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(rt, "share of datagrams that are lost")
-		f.drops = func(string, string, *gossippb.Packet) bool { return f.rng.Float64() < cut }
+		lossRate := rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(rt, "share of datagrams that are lost")
+		f.drops = func(string, string, *gossippb.Packet) bool { return f.rng.Float64() < lossRate }
 		f.run(time.Second, perSecond)
 		at := f.now
 		f.enginesReturn(0, f.hosts...)
 		f.run(time.Duration(rapid.IntRange(0, 900).Draw(rt, "restart after ms"))*time.Millisecond, perSecond)
-		again := f.zoneHosts(0)[:rapid.IntRange(0, hosts).Draw(rt, "hosts that restart")]
+		restarting := f.zoneHosts(0)[:rapid.IntRange(0, hosts).Draw(rt, "hosts that restart")]
 		for id, run := range f.runs {
-			if slices.Contains(again, run.host) {
+			if slices.Contains(restarting, run.host) {
 				f.streams[run.engine]--
 				delete(f.runs, id)
 			}
 		}
-		f.restartHosts(again)
+		f.restartHosts(restarting)
 		f.run(testColdFor, perSecond)
 		most, _ := f.maxSentPerSecond(0, at, at+testColdFor)
 		require.LessOrEqual(rt, float64(most), testColdBound)
@@ -206,24 +206,24 @@
 // Owners grant no slots at cold backend servers: any host may request one, though only a few may send there.
 func TestOwnersOfferNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 1, 20, 23)
-	asker := f.hosts[0]
-	question, owner := f.requestSlot(asker)
+	requester := f.hosts[0]
+	slotRequest, owner := f.requestSlot(requester)
 	f.enginesReturn(0, f.byIP[owner])
-	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
+	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{requester.ip, slotRequest}))
 	require.Nil(t, offers[0].Place)
 }
 
 // An owner grants a slot before it learns that the backend server has restarted. The slot is returned.
 func TestOffersOfColdServersAreNotUsed(t *testing.T) {
 	f := newColdFleet(t, 1, 20, 23)
-	asker := f.hosts[0]
-	question, owner := f.requestSlot(asker)
-	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
+	requester := f.hosts[0]
+	slotRequest, owner := f.requestSlot(requester)
+	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{requester.ip, slotRequest}))
 	require.NotNil(t, offers[0].Place)
-	f.enginesReturn(0, asker)
-	out := asker.r.Reduce(f.now, SlotOfferReceived{owner, offers[0]})
+	f.enginesReturn(0, requester)
+	out := requester.r.Reduce(f.now, SlotOfferReceived{owner, offers[0]})
 	if d, ok := findEffect[Dispatch](out); ok {
-		require.NotEqual(t, offers[0].Place.Backend, asker.r.backends[d.Backend.ID].hash)
+		require.NotEqual(t, offers[0].Place.Backend, requester.r.backends[d.Backend.ID].hash)
 	}
 	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
--- a/internal/router/exhaustive_test.go
+++ b/internal/router/exhaustive_test.go
@@ -21,8 +21,8 @@
 	sends    int
 }
 
-// check verifies the effects of one event.
-func (l *lifecycle) check(path string, list []Effect) {
+// verify checks the effects of one event.
+func (l *lifecycle) verify(path string, list []Effect) {
 	for _, e := range list {
 		switch e.(type) {
 		case Dispatch:
@@ -107,10 +107,10 @@
 		walk = func(path []int) {
 			l := &lifecycle{b: newFixture(t, 3), route: route}
 			name := route.Name
-			l.check(name, l.b.post(Submit{ID: 1, Route: route, Deadline: l.b.now + 10*time.Second}))
+			l.verify(name, l.b.post(Submit{ID: 1, Route: route, Deadline: l.b.now + 10*time.Second}))
 			for _, i := range path {
 				name += " " + all[i].name
-				l.check(name, all[i].do(l))
+				l.verify(name, all[i].do(l))
 			}
 			sequences++
 			if l.answered {
--- a/internal/router/failing_test.go
+++ b/internal/router/failing_test.go
@@ -101,9 +101,9 @@
 	b.succeeded(time.Second)
 	b.failed(3 * time.Second)
 	require.True(t, b.suspect(3*time.Second))
-	for began := 4 * time.Second; began < 7*time.Second; began += time.Second {
+	for sentAt := 4 * time.Second; sentAt < 7*time.Second; sentAt += time.Second {
 		require.True(t, b.onProbation())
-		b.succeeded(began)
+		b.succeeded(sentAt)
 	}
 	require.False(t, b.onProbation())
 }
--- a/internal/router/place_test.go
+++ b/internal/router/place_test.go
@@ -194,15 +194,15 @@
 	}
 	b.submit(urgentRoute, 0, 10)
 	id := b.next
-	verdict := func() bool { return b.post(Stalled{ID: id})[0].(StallDecision).Reassign }
+	reassigned := func() bool { return b.post(Stalled{ID: id})[0].(StallDecision).Reassign }
 	for i := 0; i < 20; i++ {
 		b.submit(urgentRoute, 0, 10)
 	}
-	require.False(t, verdict())
+	require.False(t, reassigned())
 	for i := uint64(1); i <= 20; i++ {
 		b.post(DispatchEnded{ID: id + i, Outcome: Answered})
 	}
-	require.True(t, verdict())
+	require.True(t, reassigned())
 }
 
 // All store readers of a zone lose contact with the store at once. The other hosts notice by the age of the last
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -265,24 +265,24 @@
 func TestWhatAnOwnerAdmitsAndDoesNotRunIsGivenBack(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 16, smallRate)
-	asker := f.hosts[0]
-	owner := f.byIP[asker.r.quotaOwners("w")[0]]
-	if owner == asker {
-		asker = f.hosts[1]
+	requester := f.hosts[0]
+	owner := f.byIP[requester.r.quotaOwners("w")[0]]
+	if owner == requester {
+		requester = f.hosts[1]
 	}
 	spent := func() float64 { return owner.r.quotas["w"].Spent() }
 	f.next++
-	f.post(asker, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
-	f.post(asker, CallerLeft{ID: f.next}) // its caller leaves before the owner replies
+	f.post(requester, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
+	f.post(requester, CallerLeft{ID: f.next}) // its caller leaves before the owner replies
 	f.run(20*time.Millisecond, 0)
 	require.Zero(t, spent())
 
-	for _, b := range asker.r.allBackends() {
+	for _, b := range requester.r.allBackends() {
 		b.evacuated = true
 	}
 	f.next++
-	f.runs[f.next] = &zoneRun{host: asker, submittedAt: f.now}
-	f.post(asker, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
+	f.runs[f.next] = &zoneRun{host: requester, submittedAt: f.now}
+	f.post(requester, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
 	f.run(20*time.Millisecond, 0)
 	require.Equal(t, 1, f.refused)
 	require.Zero(t, spent())
@@ -344,13 +344,13 @@
 	f := newWorkspace(t, 16, smallRate)
 	owners := f.hosts[0].r.quotaOwners("w")
 	f.byIP[owners[0]].dead = true
-	asker := f.hosts[slices.IndexFunc(f.hosts, func(h *zoneHost) bool { return !slices.Contains(owners, h.ip) })]
+	requester := f.hosts[slices.IndexFunc(f.hosts, func(h *zoneHost) bool { return !slices.Contains(owners, h.ip) })]
 	admitted := 0
 	for range 3 {
-		f.submitAt(asker, &f.workspace, 1000, func(string) { admitted++ })
+		f.submitAt(requester, &f.workspace, 1000, func(string) { admitted++ })
 		f.run(100*time.Millisecond, 0)
 	}
 	require.Equal(t, 3, admitted)
 	require.InDelta(t, 3000, f.byIP[owners[1]].r.quotas["w"].Spent(), 0.1)
-	require.Zero(t, asker.r.quotas["w"].Spent())
+	require.Zero(t, requester.r.quotas["w"].Spent())
 }
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -53,7 +53,7 @@
 		require.Equal(t, "e0", b.prompt(700))
 		b.post(StreamStarted{ID: b.next, First: 10 * time.Millisecond})
 	}
-	// unknownEvents x 11 ms / 5 slots are 66 ms; the slow engine makes its first event after 90 ms.
+	// defaultStreamLength x 11 ms / 5 slots are 66 ms; the slow engine makes its first event after 90 ms.
 	require.Equal(t, "e0", b.prompt(700))
 	require.Equal(t, "e1", b.prompt(700))
 }
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -210,26 +210,26 @@
 		then func(r *Router, engine string)
 		want bool
 	}{
-		"lives":   {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id, Reached: true}) }, false},
-		"is dark": {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id}) }, false},
-		"is reached, and its registration goes later": {func(r *Router, id string) {
+		"is reached":      {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id, Reached: true}) }, false},
+		"does not answer": {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id}) }, false},
+		"is reached, and its registration is removed later": {func(r *Router, id string) {
 			r.Reduce(2*time.Second, ProbeResult{ID: id, Reached: true})
 			r.Reduce(5*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, false},
-		"is dark, and its registration goes later": {func(r *Router, id string) {
+		"does not answer, and its registration is removed later": {func(r *Router, id string) {
 			r.Reduce(2*time.Second, ProbeResult{ID: id})
 			r.Reduce(5*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, true},
 		"unknown":                  {func(*Router, string) {}, false},
 		"refuses connection":       {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id, Refused: true}) }, true},
 		"refused by another start": {func(r *Router, id string) { r.Reduce(2*time.Second, ProbeResult{ID: id, Start: 7, Refused: true}) }, false},
-		"registration goes": {func(r *Router, id string) {
+		"registration is removed": {func(r *Router, id string) {
 			r.Reduce(5*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, true},
-		"registration goes long after": {func(r *Router, id string) {
+		"registration is removed long after": {func(r *Router, id string) {
 			r.Reduce(2*time.Second+endConfirmWindow+1, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{{Backend: routing.Backend{ID: id}, Revision: rev(60), Removed: true}}}})
 		}, false},
-		"starts again": {func(r *Router, id string) {
+		"restarts": {func(r *Router, id string) {
 			ch := changeOf(id, 60, false)
 			ch.Start = 5
 			r.Reduce(3*time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(60), Changes: routing.Changes{Backends: []routing.BackendChange{ch}}})
