--- a/internal/measure/load.go
+++ b/internal/measure/load.go
@@ -9,28 +9,28 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds.
+// Range of the histograms, in microseconds, and their significant digits.
 const (
-	histogramLeast  = 1
-	histogramMost   = 120_000_000
+	histogramMin    = 1
+	histogramMax    = 120_000_000
 	histogramDigits = 3
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(histogramLeast, histogramMost, histogramDigits)
+	return hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 }
 
-func noteDuration(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(histogramLeast, d.Microseconds()))
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
+	_ = h.RecordValue(max(histogramMin, d.Microseconds()))
 }
 
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// openLoop calls one at random moments with a mean rate, whether earlier calls have ended or not,
-// and waits for all to end. Latency counts from the planned moment, so a slow start is not hidden.
-func openLoop(rate float64, length time.Duration, seed uint64, one func(ctx context.Context, i int, planned time.Time)) {
+// runOpenLoop starts calls as a Poisson process with the given rate per second, whether earlier calls have ended or not,
+// and waits until all have ended. Callers measure latency from the planned time, so that a delayed start is included.
+func runOpenLoop(rate float64, length time.Duration, seed uint64, call func(ctx context.Context, i int, planned time.Time)) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	ctx, cancel := context.WithTimeout(context.Background(), length+time.Minute)
 	defer cancel()
@@ -46,35 +46,35 @@
 		wg.Add(1)
 		go func(planned time.Time) {
 			defer wg.Done()
-			one(ctx, i, planned)
+			call(ctx, i, planned)
 		}(next)
 	}
 	wg.Wait()
 }
 
-// fit is a least-squares line through measured points.
-type fit struct {
-	slope, base float64
-	// worst is the largest distance of a point from the line, as a share of the largest value.
-	worst float64
+// linearFit is a least-squares line through measured points.
+type linearFit struct {
+	slope, intercept float64
+	// maxDeviation is the largest deviation of a point from the line, relative to the largest value.
+	maxDeviation float64
 }
 
-func fitLine(x, y []float64) fit {
+func fitLine(x, y []float64) linearFit {
 	n := float64(len(x))
-	var sx, sy, sxx, sxy, most float64
+	var sx, sy, sxx, sxy, maxY float64
 	for i := range x {
 		sx += x[i]
 		sy += y[i]
 		sxx += x[i] * x[i]
 		sxy += x[i] * y[i]
-		most = max(most, y[i])
+		maxY = max(maxY, y[i])
 	}
-	var f fit
+	var f linearFit
 	f.slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	f.base = (sy - f.slope*sx) / n
+	f.intercept = (sy - f.slope*sx) / n
 	for i := range x {
-		d := y[i] - (f.base + f.slope*x[i])
-		f.worst = max(f.worst, max(d, -d)/most)
+		d := y[i] - (f.intercept + f.slope*x[i])
+		f.maxDeviation = max(f.maxDeviation, max(d, -d)/maxY)
 	}
 	return f
 }
--- a/internal/measure/mix.go
+++ b/internal/measure/mix.go
@@ -13,64 +13,64 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// tierMix is one tier's part of a mix.
+// tierMix describes the requests of one tier in a mix.
 type tierMix struct {
-	name        string
-	priority    int
-	share       float64 // of the requests
-	least, most float64 // tokens of an answer, drawn evenly in their logarithm
-	deadline    time.Duration
+	name                 string
+	priority             int
+	share                float64 // of the requests
+	minTokens, maxTokens float64 // range of the response's tokens, drawn log-uniformly
+	deadline             time.Duration
 }
 
-// mix describes a user's fleet and callers.
+// mix describes a fleet and the requests of its callers.
 type mix struct {
-	name       string
-	zones      int
-	hosts      int // in each zone
-	engines    int // in each zone
-	steps      []time.Duration
-	batch      int
-	tiers      []tierMix
-	workspaces []float64 // shares of the requests
-	system     []int     // tokens of each workspace's shared prompt
-	cache      int       // prefixes that an engine keeps
+	name         string
+	zones        int
+	hosts        int // in each zone
+	engines      int // in each zone
+	stepTimes    []time.Duration
+	batch        int
+	tiers        []tierMix
+	workspaces   []float64 // shares of the requests
+	systemTokens []int     // tokens of each workspace's shared prompt prefix
+	cacheEntries int       // capacity of an engine's prefix cache
 }
 
-// agency follows the brief: 4 zones, 12 model engines, short urgent hints beside long summaries.
+// agency models a fleet of 4 zones and 12 model engines with short urgent hints and long summaries.
 var agency = mix{
-	name: "agency", zones: 4, hosts: 2, engines: 3, batch: 8, cache: 16,
-	steps: []time.Duration{6 * time.Millisecond, 9 * time.Millisecond, 15 * time.Millisecond},
+	name: "agency", zones: 4, hosts: 2, engines: 3, batch: 8, cacheEntries: 16,
+	stepTimes: []time.Duration{6 * time.Millisecond, 9 * time.Millisecond, 15 * time.Millisecond},
 	tiers: []tierMix{
 		{"top", 10, 0.2, 4, 60, time.Second},
 		{"mid", 5, 0.4, 20, 150, 2500 * time.Millisecond},
 		{"low", 1, 0.4, 4, 300, 4 * time.Second},
 	},
-	workspaces: []float64{0.4, 0.3, 0.15, 0.1, 0.05},
-	system:     []int{2048, 1024, 512, 1024, 512},
+	workspaces:   []float64{0.4, 0.3, 0.15, 0.1, 0.05},
+	systemTokens: []int{2048, 1024, 512, 1024, 512},
 }
 
-// exchange follows the brief: 3 zones, 9 engines, long condition reports with long prompts.
+// exchange models a fleet of 3 zones and 9 engines with long condition reports and long prompts.
 var exchange = mix{
-	name: "exchange", zones: 3, hosts: 3, engines: 3, batch: 8, cache: 12,
-	steps: []time.Duration{7 * time.Millisecond, 8 * time.Millisecond, 20 * time.Millisecond},
+	name: "exchange", zones: 3, hosts: 3, engines: 3, batch: 8, cacheEntries: 12,
+	stepTimes: []time.Duration{7 * time.Millisecond, 8 * time.Millisecond, 20 * time.Millisecond},
 	tiers: []tierMix{
 		{"top", 10, 0.3, 4, 40, time.Second},
 		{"mid", 5, 0.3, 40, 300, 4 * time.Second},
 		{"low", 1, 0.4, 4, 80, 4 * time.Second},
 	},
-	workspaces: []float64{0.5, 0.25, 0.1, 0.1, 0.05},
-	system:     []int{4096, 4096, 2048, 1024, 512},
+	workspaces:   []float64{0.5, 0.25, 0.1, 0.1, 0.05},
+	systemTokens: []int{4096, 4096, 2048, 1024, 512},
 }
 
-// untuned is a mix that nothing was tuned on: one tier only, one workspace that floods.
+// untuned is a mix that was not used for tuning: a single tier, and one workspace that sends most of the requests.
 var untuned = mix{
-	name: "untuned", zones: 2, hosts: 2, engines: 4, batch: 6, cache: 16,
-	steps: []time.Duration{5 * time.Millisecond, 11 * time.Millisecond, 12 * time.Millisecond, 30 * time.Millisecond},
+	name: "untuned", zones: 2, hosts: 2, engines: 4, batch: 6, cacheEntries: 16,
+	stepTimes: []time.Duration{5 * time.Millisecond, 11 * time.Millisecond, 12 * time.Millisecond, 30 * time.Millisecond},
 	tiers: []tierMix{
 		{"top", 10, 1, 4, 300, 4 * time.Second},
 	},
-	workspaces: []float64{0.85, 0.05, 0.05, 0.05},
-	system:     []int{256, 2048, 1024, 64},
+	workspaces:   []float64{0.85, 0.05, 0.05, 0.05},
+	systemTokens: []int{256, 2048, 1024, 64},
 }
 
 // job is one planned request.
@@ -82,46 +82,46 @@
 	prompt    string
 }
 
-// work is the slot-steps that a job takes on an engine that has its shared prefix cached.
-func (j job) work() float64 { return float64(j.tokens + 1) }
+// slotSteps returns the number of engine steps that a job occupies a slot for, with its shared prefix cached.
+func (j job) slotSteps() float64 { return float64(j.tokens + 1) }
 
-// draw plans the requests of a run: the load is relative to the fleet's capacity.
-func (m mix) draw(load float64, length time.Duration, seed uint64) []job {
+// planJobs draws the requests of a run. The load is relative to the fleet's capacity.
+func (m mix) planJobs(load float64, length time.Duration, seed uint64) []job {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	mean := 0.0
 	const samples = 20_000
-	probe := rand.New(rand.NewPCG(1, 2))
+	sampleRNG := rand.New(rand.NewPCG(1, 2))
 	for i := 0; i < samples; i++ {
-		mean += m.one(probe).work() / samples
+		mean += m.drawJob(sampleRNG).slotSteps() / samples
 	}
 	rate := load * m.capacity() / mean
 	var jobs []job
 	for t := time.Duration(0); ; {
-		// Arrivals come in bursts: every second begins with half of its requests in a quarter of it.
-		pace := rate * 2 / 3
+		// Arrivals are bursty: half of each second's requests arrive in its first quarter.
+		currentRate := rate * 2 / 3
 		if t%time.Second < time.Second/4 {
-			pace = rate * 2
+			currentRate = rate * 2
 		}
-		t += time.Duration(rng.ExpFloat64() / pace * float64(time.Second))
+		t += time.Duration(rng.ExpFloat64() / currentRate * float64(time.Second))
 		if t > length {
 			return jobs
 		}
-		j := m.one(rng)
+		j := m.drawJob(rng)
 		j.at = t
 		j.prompt = m.prompt(j.workspace, len(jobs), rng)
 		jobs = append(jobs, j)
 	}
 }
 
-func (m mix) one(rng *rand.Rand) job {
-	j := job{tier: pick(rng, len(m.tiers), func(i int) float64 { return m.tiers[i].share }),
-		workspace: pick(rng, len(m.workspaces), func(i int) float64 { return m.workspaces[i] })}
+func (m mix) drawJob(rng *rand.Rand) job {
+	j := job{tier: pickWeighted(rng, len(m.tiers), func(i int) float64 { return m.tiers[i].share }),
+		workspace: pickWeighted(rng, len(m.workspaces), func(i int) float64 { return m.workspaces[i] })}
 	t := m.tiers[j.tier]
-	j.tokens = int(math.Exp(math.Log(t.least) + rng.Float64()*(math.Log(t.most)-math.Log(t.least))))
+	j.tokens = int(math.Exp(math.Log(t.minTokens) + rng.Float64()*(math.Log(t.maxTokens)-math.Log(t.minTokens))))
 	return j
 }
 
-func pick(rng *rand.Rand, n int, share func(int) float64) int {
+func pickWeighted(rng *rand.Rand, n int, share func(int) float64) int {
 	x := rng.Float64()
 	for i := 0; i < n-1; i++ {
 		if x -= share(i); x < 0 {
@@ -133,16 +133,16 @@
 
 func (m mix) prompt(workspace, i int, rng *rand.Rand) string {
 	const bytesPerToken = 4
-	shared := strings.Repeat(fmt.Sprintf("workspace %d says. ", workspace), m.system[workspace]*bytesPerToken/18)
+	shared := strings.Repeat(fmt.Sprintf("workspace %d says. ", workspace), m.systemTokens[workspace]*bytesPerToken/18)
 	return shared + strings.Repeat(fmt.Sprintf("request %d. ", i), 2+rng.IntN(20))
 }
 
-// stepTime of an engine whose batch is full.
+// stepTime returns the step time of the i-th engine of a zone with a full batch.
 func (m mix) stepTime(i int) time.Duration {
-	return m.steps[i%len(m.steps)] + time.Duration(m.batch-1)*engine.DefaultOptions().StepPerSeq
+	return m.stepTimes[i%len(m.stepTimes)] + time.Duration(m.batch-1)*engine.DefaultOptions().StepPerSeq
 }
 
-// capacity is the fleet's slot-steps a second.
+// capacity returns the fleet's slot-steps per second.
 func (m mix) capacity() float64 {
 	sum := 0.0
 	for i := 0; i < m.engines; i++ {
@@ -151,16 +151,16 @@
 	return sum * float64(m.zones)
 }
 
-// bound is the share of each tier's requests that a clairvoyant could answer in time: tiers from
-// the top, inside a tier the shortest first, all slots always full, every prefix cached.
+// bound returns the share of each tier's requests that a clairvoyant scheduler could serve in time: the highest tier
+// first, the shortest requests of a tier first, with all slots always occupied and every prefix cached.
 func (m mix) bound(jobs []job, length time.Duration) []float64 {
 	out := make([]float64, len(m.tiers))
 	spent := 0.0
-	for t := range m.tiers { // mixes list tiers from the top
+	for t := range m.tiers { // mixes list the highest tier first
 		var works []float64
 		for _, j := range jobs {
 			if j.tier == t {
-				works = append(works, j.work())
+				works = append(works, j.slotSteps())
 			}
 		}
 		sort.Float64s(works)
@@ -182,7 +182,7 @@
 	return out
 }
 
-// records describe the mix to the system, under a policy.
+// records returns the configuration records of the mix's service, tiers and workspaces.
 func (m mix) records(policy string) []record.Raw {
 	out := []record.Raw{fleet.Service("notes", record.ServiceModel, policy, "mid")}
 	var names []string
--- a/internal/measure/overhead.go
+++ b/internal/measure/overhead.go
@@ -11,30 +11,30 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// Overhead compares calls through a host with direct calls to the same plain service, in turn at
-// each rate. The host that takes the calls is not the one that schedules: each request costs the
-// round trip between hosts, as most do.
+// Overhead compares the latency of calls through a host with that of direct calls to the same plain service, at each
+// rate in turn. The host that receives the calls does not schedule the service, so each request includes a round trip
+// between hosts, as most requests do.
 func Overhead(out io.Writer, bin string, rates []float64, length time.Duration) error {
-	r, err := newRig(bin)
+	r, err := newTestbed(bin)
 	if err != nil {
 		return err
 	}
 	defer r.close()
-	r.publish(basics("cost")...)
+	r.publish(baseRecords("cost")...)
 	direct := r.addPlain("git-1", "git", "zone-a", 2*time.Millisecond, 512)
 	r.addHosts("zone-a", 2)
 	if err := r.start(); err != nil {
 		return err
 	}
-	entry, err := r.notScheduling("git", "zone-a")
+	entry, err := r.nonSchedulingHost("git", "zone-a")
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "plain service of 2 ms; entry host and scheduling host apart; each row one run of %s a side\n", length)
 	fmt.Fprintf(out, "%10s %10s %10s %10s %10s %10s %10s %8s\n", "rate/s", "direct p50", "host p50", "added", "direct p99", "host p99", "added", "failed")
 	for _, rate := range rates {
-		d := timeCalls(rate, length, "http://"+direct+"/x")
-		h := timeCalls(rate, length, "http://"+entry.Callers+"/services/git/x")
+		d := measureCalls(rate, length, "http://"+direct+"/x")
+		h := measureCalls(rate, length, "http://"+entry.Callers+"/services/git/x")
 		fmt.Fprintf(out, "%10.0f %10s %10s %10s %10s %10s %10s %8d\n", rate, d.p50, h.p50, h.p50-d.p50, d.p99, h.p99, h.p99-d.p99, h.failed+d.failed)
 	}
 	return nil
@@ -45,12 +45,12 @@
 	failed   int
 }
 
-func timeCalls(rate float64, length time.Duration, url string) callTimes {
+func measureCalls(rate float64, length time.Duration, url string) callTimes {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}, Timeout: 20 * time.Second}
 	hist := newHistogram()
 	var mu sync.Mutex
 	var t callTimes
-	openLoop(rate, length, 1, func(ctx context.Context, _ int, planned time.Time) {
+	runOpenLoop(rate, length, 1, func(ctx context.Context, _ int, planned time.Time) {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 		req.Header.Set("Authorization", "Bearer school-key")
 		resp, err := client.Do(req)
@@ -65,19 +65,19 @@
 			t.failed++
 			return
 		}
-		noteDuration(hist, time.Since(planned))
+		recordDuration(hist, time.Since(planned))
 	})
 	t.p50, t.p99 = quantile(hist, 50), quantile(hist, 99)
 	return t
 }
 
-// MemoryPerRequest measures what requests cost a host: all streaming, or eight waiting for each one
-// that streams, which is as many as the queue's bound lets wait.
+// MemoryPerRequest measures a host's memory per request: with all requests streaming, and with eight waiting requests
+// for each streaming one, the most that the queue's limit allows.
 func MemoryPerRequest(out io.Writer, bin string, sizes []int) error {
 	for _, kind := range []string{"mostly waiting", "streaming"} {
 		var x, y []float64
 		for _, n := range sizes {
-			bytes, err := memoryAt(bin, kind, n)
+			bytes, err := measureMemory(bin, kind, n)
 			if err != nil {
 				return err
 			}
@@ -85,19 +85,19 @@
 			fmt.Fprintf(out, "%s: %d requests, %.1f MB resident\n", kind, n, bytes/1e6)
 		}
 		f := fitLine(x, y)
-		fmt.Fprintf(out, "%s: %.1f KB a request, base %.1f MB, worst point off by %.0f%%\n", kind, f.slope/1e3, f.base/1e6, 100*f.worst)
+		fmt.Fprintf(out, "%s: %.1f KB a request, base %.1f MB, worst point off by %.0f%%\n", kind, f.slope/1e3, f.intercept/1e6, 100*f.maxDeviation)
 	}
 	return nil
 }
 
-func memoryAt(bin, kind string, n int) (float64, error) {
-	r, err := newRig(bin)
+func measureMemory(bin, kind string, n int) (float64, error) {
+	r, err := newTestbed(bin)
 	if err != nil {
 		return 0, err
 	}
 	defer r.close()
-	r.publish(basics("cost")...)
-	o := slowEngine(n, kind)
+	r.publish(baseRecords("cost")...)
+	o := slowEngineOptions(n, kind)
 	r.addEngine("e1", "notes", "zone-a", o)
 	r.addHosts("zone-a", 1)
 	r.specs[0].Extra = "[limits]\nmax_requests = 100000\n"
@@ -115,7 +115,7 @@
 		return err == nil && s.Requests >= n
 	})
 	if !held {
-		return 0, fmt.Errorf("the host does not hold %d requests", n)
+		return 0, fmt.Errorf("the host did not reach %d concurrent requests in time", n)
 	}
 	time.Sleep(2 * time.Second)
 	u, err := r.usage(r.specs[0])
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -16,7 +16,7 @@
 	"fireflyshift/internal/standin/platform"
 )
 
-// trial is one run of a policy under a load and a fault.
+// trial is one run of a policy with a mix, load, fault and seed.
 type trial struct {
 	Mix    string  `json:"mix"`
 	Policy string  `json:"policy"`
@@ -25,58 +25,58 @@
 	Seed   uint64  `json:"seed"`
 }
 
-// tierResult is what became of one tier.
+// tierResult summarizes the requests of one tier.
 type tierResult struct {
 	Tier    string  `json:"tier"`
 	Offered int     `json:"offered"`
-	Good    int     `json:"good"` // whole and in time
+	Good    int     `json:"good"` // complete and in time
 	Goodput float64 `json:"goodput"`
-	Bound   float64 `json:"bound"` // what a clairvoyant could
+	Bound   float64 `json:"bound"` // goodput of a clairvoyant scheduler
 	Refused int     `json:"refused"`
 	Late    int     `json:"late_or_cut"`
-	// Kinds counts the refusals by kind, "" being an answer after its deadline.
+	// Kinds counts the requests that were not good by kind of error; "" means without an error, for example late.
 	Kinds map[string]int `json:"kinds"`
 }
 
-// result is what one trial measured.
+// result holds the measurements of one trial.
 type result struct {
 	trial
 	Tiers         []tierResult  `json:"tiers"`
 	Total         float64       `json:"total_goodput"`
 	TotalBound    float64       `json:"total_bound"`
 	WastedPrefill float64       `json:"wasted_prefill"`
-	Fairness      float64       `json:"least_share"` // least workspace's goodput over the mean's
+	Fairness      float64       `json:"least_share"` // lowest ratio of a workspace's goodput to its fair share
 	First         [3]float64    `json:"top_first_token_ms"`
 	Gap           [3]float64    `json:"token_gap_ms"`
 	ControlBytes  float64       `json:"control_bytes_per_host_s"`
 	HostCPU       float64       `json:"cpu_per_host_percent"`
-	Recovery      time.Duration `json:"recovery"` // of the top tier after the fault; -1 if not in the run
+	Recovery      time.Duration `json:"recovery"` // of the top tier after the fault; -1 if not within the run
 	Violations    int           `json:"invariant_violations"`
 	Suspended     int           `json:"suspended"`
-	Used          float64       `json:"slots_used"` // tokens made, as a share of what full batches could make
+	Used          float64       `json:"slots_used"` // tokens generated, as a share of what full batches could generate
 }
 
 const (
-	faultAt     = 3 * time.Second
-	binLength   = 500 * time.Millisecond
-	recoveredAt = 0.95
+	faultAt          = 3 * time.Second
+	recoveryBin      = 500 * time.Millisecond
+	recoveredGoodput = 0.95
 )
 
-// runner runs trials one after the other.
+// runner runs trials sequentially.
 type runner struct {
 	bin    string
 	length time.Duration
 	log    io.Writer
 }
 
-// outcome is one request's end.
+// outcome is the result of one request; kind is that of its error.
 type outcome struct {
 	job  job
 	good bool
 	kind string
 }
 
-// collector gathers outcomes from many goroutines.
+// collector collects outcomes from concurrent requests.
 type collector struct {
 	mu       sync.Mutex
 	outcomes []outcome
@@ -89,10 +89,10 @@
 	defer c.mu.Unlock()
 	c.outcomes = append(c.outcomes, o)
 	if top && o.good {
-		noteDuration(c.first, a.FirstToken)
+		recordDuration(c.first, a.FirstToken)
 	}
 	for _, g := range a.TokenGaps {
-		noteDuration(c.gap, g)
+		recordDuration(c.gap, g)
 	}
 }
 
@@ -102,18 +102,18 @@
 		return result{}, err
 	}
 	defer r.close()
-	jobs := m.draw(t.Load, x.length, t.Seed)
-	before := x.usageOfAll(r)
+	jobs := m.planJobs(t.Load, x.length, t.Seed)
+	before := x.hostUsage(r)
 	c := &collector{first: newHistogram(), gap: newHistogram()}
-	lb := newReadyHosts(r)
-	defer lb.close()
-	go x.inject(r, m, t.Fault)
+	balancer := newLoadBalancer(r)
+	defer balancer.close()
+	go x.injectFault(r, m, t.Fault)
 	started := time.Now()
-	x.send(m, jobs, lb, c)
-	out := x.judge(m, t, jobs, c)
-	out.ControlBytes, out.HostCPU = x.spent(r, before)
-	out.WastedPrefill = wasted(r)
-	out.Suspended, out.Used = work(r, m, time.Since(started))
+	x.sendJobs(m, jobs, balancer, c)
+	out := x.summarize(m, t, jobs, c)
+	out.ControlBytes, out.HostCPU = x.averageUsage(r, before)
+	out.WastedPrefill = wastedPrefill(r)
+	out.Suspended, out.Used = engineTotals(r, m, time.Since(started))
 	for _, s := range r.specs {
 		if st, err := r.status(s); err == nil {
 			out.Violations += st.Violations
@@ -122,8 +122,8 @@
 	return out, nil
 }
 
-func (x runner) build(m mix, policy string) (*rig, error) {
-	r, err := newRig(x.bin)
+func (x runner) build(m mix, policy string) (*testbed, error) {
+	r, err := newTestbed(x.bin)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 		zone := fmt.Sprintf("zone-%d", z)
 		for i := 0; i < m.engines; i++ {
 			o := engine.DefaultOptions()
-			o.Step, o.Batch, o.CacheEntries = m.steps[i%len(m.steps)], m.batch, m.cache
+			o.Step, o.Batch, o.CacheEntries = m.stepTimes[i%len(m.stepTimes)], m.batch, m.cacheEntries
 			r.addEngine(fmt.Sprintf("%s-e%d", zone, i), "notes", zone, o)
 		}
 		r.addHosts(zone, m.hosts)
@@ -150,31 +150,31 @@
 	return r, nil
 }
 
-// readyHosts stands in for the platform's balancer: it asks for readiness every 100 ms, and tries
+// loadBalancer simulates the platform's load balancer. It probes the hosts' readiness every 100 ms. sendJobs tries
 // another host when a connection is refused.
-type readyHosts struct {
+type loadBalancer struct {
 	mu    sync.Mutex
 	ready []string
 	next  int
 	stop  context.CancelFunc
 }
 
-func newReadyHosts(r *rig) *readyHosts {
+func newLoadBalancer(r *testbed) *loadBalancer {
 	ctx, stop := context.WithCancel(context.Background())
-	l := &readyHosts{stop: stop}
-	l.check(r)
+	l := &loadBalancer{stop: stop}
+	l.probe(r)
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(100 * time.Millisecond)
-			l.check(r)
+			l.probe(r)
 		}
 	}()
 	return l
 }
 
-func (l *readyHosts) close() { l.stop() }
+func (l *loadBalancer) close() { l.stop() }
 
-func (l *readyHosts) check(r *rig) {
+func (l *loadBalancer) probe(r *testbed) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	up := map[string]bool{}
@@ -199,7 +199,7 @@
 	}
 }
 
-func (l *readyHosts) pick() string {
+func (l *loadBalancer) pick() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.ready) == 0 {
@@ -209,8 +209,8 @@
 	return l.ready[l.next%len(l.ready)]
 }
 
-// send plays the jobs at their times.
-func (x runner) send(m mix, jobs []job, lb *readyHosts, c *collector) {
+// sendJobs sends the jobs at their planned times and waits for the responses.
+func (x runner) sendJobs(m mix, jobs []job, balancer *loadBalancer, c *collector) {
 	ctx, cancel := context.WithTimeout(context.Background(), x.length+time.Minute)
 	defer cancel()
 	callers := map[[2]int]*fleet.Caller{}
@@ -229,21 +229,21 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			a := callers[[2]int{j.workspace, j.tier}].Chat(ctx, lb.pick(), "notes", j.prompt, j.tokens, true)
+			a := callers[[2]int{j.workspace, j.tier}].Chat(ctx, balancer.pick(), "notes", j.prompt, j.tokens, true)
 			for try := 0; a.Err != nil && a.Status == 0 && try < 3; try++ {
-				// Refused connection or a host that died before it answered: the balancer tries another.
-				a = callers[[2]int{j.workspace, j.tier}].Chat(ctx, lb.pick(), "notes", j.prompt, j.tokens, true)
+				// The connection was refused or the host ended before it responded: the balancer tries another.
+				a = callers[[2]int{j.workspace, j.tier}].Chat(ctx, balancer.pick(), "notes", j.prompt, j.tokens, true)
 			}
-			right := a.OK() && a.Text == engine.Answer("user\n"+j.prompt+"\n", j.tokens)
-			in := a.Duration <= m.tiers[j.tier].deadline
-			c.add(outcome{job: j, good: right && in, kind: a.ErrorKind}, a, j.tier == 0)
+			correct := a.OK() && a.Text == engine.Answer("user\n"+j.prompt+"\n", j.tokens)
+			inTime := a.Duration <= m.tiers[j.tier].deadline
+			c.add(outcome{job: j, good: correct && inTime, kind: a.ErrorKind}, a, j.tier == 0)
 		}()
 	}
 	wg.Wait()
 }
 
-// inject brings the trial's fault.
-func (x runner) inject(r *rig, m mix, fault string) {
+// injectFault causes the trial's fault, faultAt after the start.
+func (x runner) injectFault(r *testbed, m mix, fault string) {
 	time.Sleep(faultAt)
 	switch fault {
 	case "slow engine":
@@ -273,7 +273,7 @@
 	}
 }
 
-func (x runner) judge(m mix, t trial, jobs []job, c *collector) result {
+func (x runner) summarize(m mix, t trial, jobs []job, c *collector) result {
 	out := result{trial: t}
 	bounds := m.bound(jobs, x.length)
 	good, bound := 0, 0.0
@@ -310,12 +310,11 @@
 }
 
 func threeQuantiles(h *hdrhistogram.Histogram) [3]float64 {
-	return [3]float64{ms(quantile(h, 50)), ms(quantile(h, 95)), ms(quantile(h, 99))}
+	return [3]float64{milliseconds(quantile(h, 50)), milliseconds(quantile(h, 95)), milliseconds(quantile(h, 99))}
 }
 
-// fairness is the least workspace's part of its fair share, in the lowest tier that was served at
-// all. The fair share is max-min: what was answered is poured evenly, and nobody gets more than it
-// asked for.
+// fairness returns the lowest ratio of a workspace's goodput to its fair share, in the lowest tier with any goodput. The
+// fair shares are max-min fair: the total goodput is divided evenly, limited by each workspace's demand.
 func fairness(m mix, outcomes []outcome) float64 {
 	for t := len(m.tiers) - 1; t >= 0; t-- {
 		offered, good := make([]float64, len(m.workspaces)), make([]float64, len(m.workspaces))
@@ -324,36 +323,36 @@
 			if o.job.tier != t {
 				continue
 			}
-			offered[o.job.workspace] += o.job.work()
+			offered[o.job.workspace] += o.job.slotSteps()
 			if o.good {
-				good[o.job.workspace] += o.job.work()
-				total += o.job.work()
+				good[o.job.workspace] += o.job.slotSteps()
+				total += o.job.slotSteps()
 			}
 		}
 		if total == 0 {
 			continue
 		}
-		least := 1.0
-		for w, fair := range pour(total, offered) {
+		lowest := 1.0
+		for w, fair := range maxMinShares(total, offered) {
 			if fair > 0 {
-				least = min(least, good[w]/fair)
+				lowest = min(lowest, good[w]/fair)
 			}
 		}
-		return least
+		return lowest
 	}
 	return 0
 }
 
-// pour divides an amount evenly over demands, none of which gets more than it asks.
-func pour(amount float64, demands []float64) []float64 {
+// maxMinShares divides an amount evenly over demands, none of which is exceeded.
+func maxMinShares(amount float64, demands []float64) []float64 {
 	out := make([]float64, len(demands))
 	for open := len(demands); amount > 1e-9 && open > 0; {
 		part := amount / float64(open)
 		open = 0
 		for i, d := range demands {
-			if give := min(part, d-out[i]); give > 0 {
-				out[i] += give
-				amount -= give
+			if grant := min(part, d-out[i]); grant > 0 {
+				out[i] += grant
+				amount -= grant
 			}
 			if out[i] < d-1e-9 {
 				open++
@@ -363,27 +362,28 @@
 	return out
 }
 
-// recovery is when the top tier's goodput, in bins by arrival, is back for good.
+// recovery returns the time from the fault until the top tier's goodput, in bins by arrival, stays at or above
+// recoveredGoodput; -1 if that is not within the run.
 func recovery(outcomes []outcome, length time.Duration, fault string) time.Duration {
 	if fault == "" {
 		return 0
 	}
-	bins := int(length / binLength)
+	bins := int(length / recoveryBin)
 	offered, good := make([]float64, bins+1), make([]float64, bins+1)
 	for _, o := range outcomes {
 		if o.job.tier != 0 {
 			continue
 		}
-		i := int(o.job.at / binLength)
+		i := int(o.job.at / recoveryBin)
 		offered[i]++
 		if o.good {
 			good[i]++
 		}
 	}
 	latest := time.Duration(0)
-	for i := int(faultAt / binLength); i < bins; i++ {
-		if offered[i] > 0 && good[i]/offered[i] < recoveredAt {
-			latest = time.Duration(i+1)*binLength - faultAt
+	for i := int(faultAt / recoveryBin); i < bins; i++ {
+		if offered[i] > 0 && good[i]/offered[i] < recoveredGoodput {
+			latest = time.Duration(i+1)*recoveryBin - faultAt
 		}
 	}
 	if latest >= length-faultAt {
@@ -392,18 +392,18 @@
 	return latest
 }
 
-func wasted(r *rig) float64 {
-	var computed, thrown int64
+func wastedPrefill(r *testbed) float64 {
+	var computed, wasted int64
 	for _, e := range r.engines {
 		s := e.Stats()
 		computed += s.PrefillComputed
-		thrown += s.PrefillWasted
+		wasted += s.PrefillWasted
 	}
-	return float64(thrown) / float64(max(1, computed))
+	return float64(wasted) / float64(max(1, computed))
 }
 
-// work sums up what the engines did.
-func work(r *rig, m mix, took time.Duration) (suspended int, used float64) {
+// engineTotals returns the engines' suspended requests, and their tokens as a share of the capacity.
+func engineTotals(r *testbed, m mix, took time.Duration) (suspended int, used float64) {
 	tokens := int64(0)
 	for _, e := range r.engines {
 		s := e.Stats()
@@ -413,7 +413,7 @@
 	return suspended, float64(tokens) / (m.capacity() * took.Seconds())
 }
 
-func (x runner) usageOfAll(r *rig) map[string]usage {
+func (x runner) hostUsage(r *testbed) map[string]usage {
 	out := map[string]usage{}
 	for _, s := range r.specs {
 		if u, err := r.usage(s); err == nil {
@@ -423,15 +423,15 @@
 	return out
 }
 
-// spent averages control bytes and processor time over the hosts that ran all the time.
-func (x runner) spent(r *rig, before map[string]usage) (bytes, cpu float64) {
+// averageUsage averages control traffic and CPU time over the hosts that were not restarted.
+func (x runner) averageUsage(r *testbed, before map[string]usage) (bytes, cpu float64) {
 	n := 0.0
 	for _, s := range r.specs {
 		after, err := r.usage(s)
 		if err != nil || after.cpu < before[s.ID].cpu || after.sent < before[s.ID].sent {
 			continue
 		}
-		o := since(before[s.ID], after)
+		o := rateBetween(before[s.ID], after)
 		bytes += o.sent
 		cpu += 100 * o.cpu
 		n++
--- a/internal/measure/report.go
+++ b/internal/measure/report.go
@@ -16,7 +16,7 @@
 	"fireflyshift/internal/record"
 )
 
-// Plan chooses the trials of a table.
+// Plan selects the trials of a table: all combinations of its fields.
 type Plan struct {
 	Mixes    []string
 	Policies []string
@@ -25,17 +25,17 @@
 	Seeds    []uint64
 }
 
-// The plans of 'measure policy': quick takes minutes, full up to half an hour.
+// The plans of 'measure policy'. Quick takes minutes, all together take up to half an hour.
 var (
 	Quick = Plan{[]string{"agency", "exchange"}, record.Policies, []float64{2}, []string{""}, []uint64{1}}
 	Loads = Plan{[]string{"agency", "exchange"}, record.Policies, []float64{0.7, 1, 3}, []string{""}, []uint64{1}}
 	Seeds = Plan{[]string{"agency", "exchange"}, []string{"cost", "least-loaded", "two-choices"}, []float64{2}, []string{""}, []uint64{2, 3}}
-	// Faults have no cut of a zone: a zone is paused instead; cuts are in the tests.
+	// Faults pauses a zone instead of partitioning it from the others; the tests cover partitions.
 	Faults  = Plan{[]string{"agency"}, []string{"cost", "least-loaded", "two-choices"}, []float64{2}, []string{"slow engine", "host killed", "zone paused", "platform outage", "roll"}, []uint64{1}}
 	Untuned = Plan{[]string{"untuned"}, record.Policies, []float64{2}, []string{""}, []uint64{7}}
 )
 
-func mixNamed(name string) mix {
+func findMix(name string) mix {
 	for _, m := range []mix{agency, exchange, untuned} {
 		if m.name == name {
 			return m
@@ -44,22 +44,22 @@
 	return agency
 }
 
-// Policies runs plans and writes a table, JSON and plots into a folder.
+// Policies runs the trials of plans, prints a table to out, and writes JSON and plots into a folder.
 func Policies(out io.Writer, bin, folder string, length time.Duration, plans ...Plan) error {
 	x := runner{bin: bin, length: length, log: out}
 	var all []result
-	header(out)
+	writeHeader(out)
 	for _, p := range plans {
 		for _, t := range p.trials() {
-			r, err := x.run(mixNamed(t.Mix), t)
+			r, err := x.run(findMix(t.Mix), t)
 			if err != nil {
 				return err
 			}
-			row(out, r)
+			writeRow(out, r)
 			all = append(all, r)
 		}
 	}
-	return write(folder, all)
+	return writeFiles(folder, all)
 }
 
 func (p Plan) trials() []trial {
@@ -78,34 +78,34 @@
 	return out
 }
 
-func header(out io.Writer) {
+func writeHeader(out io.Writer) {
 	fmt.Fprintf(out, "%-9s %-12s %4s %-15s %4s | %-13s %-13s %-13s | %-13s %7s %6s | %17s %17s | %6s %5s %8s\n", "mix", "policy", "load",
 		"fault", "seed", "top/bound", "mid/bound", "low/bound", "total/bound", "wasted", "share", "first ms 50/95/99", "gap ms 50/95/99",
 		"B/s", "cpu%", "recovery")
 }
 
-func row(out io.Writer, r result) {
+func writeRow(out io.Writer, r result) {
 	tiers := [3]string{"-", "-", "-"}
 	for i, t := range r.Tiers {
 		tiers[i] = fmt.Sprintf("%.3f/%.3f", t.Goodput, t.Bound)
 	}
-	back := "-"
+	recoveryText := "-"
 	if r.Fault != "" {
-		back = r.Recovery.String()
+		recoveryText = r.Recovery.String()
 	}
 	if r.Recovery < 0 {
-		back = "not seen"
+		recoveryText = "not seen"
 	}
 	fmt.Fprintf(out, "%-9s %-12s %4.1f %-15s %4d | %-13s %-13s %-13s | %-13s %6.2f%% %6.2f | %5.0f %5.0f %5.0f %5.1f %5.1f %5.1f | %6.0f %5.1f %8s",
 		r.Mix, r.Policy, r.Load, r.Fault, r.Seed, tiers[0], tiers[1], tiers[2], fmt.Sprintf("%.3f/%.3f", r.Total, r.TotalBound),
-		100*r.WastedPrefill, r.Fairness, r.First[0], r.First[1], r.First[2], r.Gap[0], r.Gap[1], r.Gap[2], r.ControlBytes, r.HostCPU, back)
+		100*r.WastedPrefill, r.Fairness, r.First[0], r.First[1], r.First[2], r.Gap[0], r.Gap[1], r.Gap[2], r.ControlBytes, r.HostCPU, recoveryText)
 	if r.Violations > 0 {
 		fmt.Fprintf(out, "  VIOLATIONS %d", r.Violations)
 	}
 	fmt.Fprintln(out)
 }
 
-func write(folder string, all []result) error {
+func writeFiles(folder string, all []result) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// plotMix draws goodput of the top tier and of all against load, a line for each policy.
+// plotMix plots the top tier's goodput against load, with a line for each policy.
 func plotMix(folder, mixName string, all []result) error {
 	p := plot.New()
 	p.Title.Text = mixName + ": goodput of the top tier"
--- a/internal/measure/rig.go
+++ b/internal/measure/rig.go
@@ -1,6 +1,5 @@
-// Package measure drives real daemons against stand-ins on loopback and reports what they do: the
-// overhead of a host, the slopes of the capacity page, and policies against each other. Every figure
-// is a ratio or a slope inside one run. It is not part of the product.
+// Package measure runs daemons with stand-ins on loopback and measures the latency overhead of a host, the slopes of the
+// capacity page, and the scheduling policies. Every figure is a ratio or a slope within one run.
 package measure
 
 import (
@@ -24,79 +23,79 @@
 	startTimeout = 30 * time.Second
 )
 
-// Threads is the processors of an entry host: they are small machines.
+// Threads is the number of processors of each entry host; entry hosts are small machines.
 var Threads = 2
 
-// rig is a running fleet.
-type rig struct {
-	bin      string
-	dir      string
-	platform *platform.Platform
-	platAddr string
-	specs    []fleet.HostSpec
-	hosts    map[string]*fleet.Process
-	engines  map[string]*engine.Engine
-	stops    []func()
+// testbed is a running fleet.
+type testbed struct {
+	bin          string
+	dir          string
+	platform     *platform.Platform
+	platformAddr string
+	specs        []fleet.HostSpec
+	hosts        map[string]*fleet.Process
+	engines      map[string]*engine.Engine
+	stopFuncs    []func()
 }
 
-func newRig(bin string) (*rig, error) {
+func newTestbed(bin string) (*testbed, error) {
 	dir, err := os.MkdirTemp("", "fireflyshift-measure-")
 	if err != nil {
 		return nil, err
 	}
-	r := &rig{bin: bin, dir: dir, platform: platform.New(), hosts: map[string]*fleet.Process{}, engines: map[string]*engine.Engine{}}
+	r := &testbed{bin: bin, dir: dir, platform: platform.New(), hosts: map[string]*fleet.Process{}, engines: map[string]*engine.Engine{}}
 	addr, stop := fleet.Serve(r.platform.Handler())
-	r.platAddr = addr
-	r.stops = append(r.stops, stop)
+	r.platformAddr = addr
+	r.stopFuncs = append(r.stopFuncs, stop)
 	return r, nil
 }
 
-func (r *rig) close() {
+func (r *testbed) close() {
 	for _, p := range r.hosts {
 		p.Kill()
 	}
 	for _, e := range r.engines {
 		e.Close()
 	}
-	for _, stop := range r.stops {
+	for _, stop := range r.stopFuncs {
 		stop()
 	}
 	_ = os.RemoveAll(r.dir)
 }
 
-func (r *rig) publish(records ...record.Raw) {
+func (r *testbed) publish(records ...record.Raw) {
 	for _, rec := range records {
 		r.platform.PublishRaw(rec)
 	}
 }
 
-func (r *rig) addEngine(name, service, zone string, o engine.Options) string {
+func (r *testbed) addEngine(name, service, zone string, o engine.Options) string {
 	e := engine.New(o)
 	addr, stop := fleet.Serve(e.Handler())
 	r.engines[name] = e
-	r.stops = append(r.stops, stop)
+	r.stopFuncs = append(r.stopFuncs, stop)
 	r.publish(fleet.Backend(name, service, zone, addr, o.Batch, "active"))
 	return addr
 }
 
-func (r *rig) addPlain(name, service, zone string, work time.Duration, slots int) string {
+func (r *testbed) addPlain(name, service, zone string, work time.Duration, slots int) string {
 	addr, stop := fleet.Serve(plain.New(work).Handler())
-	r.stops = append(r.stops, stop)
+	r.stopFuncs = append(r.stopFuncs, stop)
 	r.publish(fleet.Backend(name, service, zone, addr, slots, "active"))
 	return addr
 }
 
-// addHosts plans n hosts of a zone.
-func (r *rig) addHosts(zone string, n int) {
+// addHosts adds n hosts of a zone, which start runs.
+func (r *testbed) addHosts(zone string, n int) {
 	for i := 1; i <= n; i++ {
-		s := fleet.NewHostSpec(fmt.Sprintf("%s-h%d", zone, i), zone, r.platAddr)
+		s := fleet.NewHostSpec(fmt.Sprintf("%s-h%d", zone, i), zone, r.platformAddr)
 		s.Threads = Threads
 		r.specs = append(r.specs, s)
 	}
 }
 
-// start runs all hosts and waits until they are ready and see each other.
-func (r *rig) start() error {
+// start starts all hosts and waits until they are ready and have received heartbeats of the others in their zone.
+func (r *testbed) start() error {
 	var list []platform.Host
 	zones := map[string]int{}
 	for _, s := range r.specs {
@@ -112,23 +111,23 @@
 	for _, s := range r.specs {
 		up := fleet.WaitUntil(startTimeout, func() bool {
 			st, err := r.status(s)
-			return err == nil && st.Ready && alive(st) == zones[s.Zone]-1
+			return err == nil && st.Ready && countAlivePeers(st) == zones[s.Zone]-1
 		})
 		if !up {
-			return fmt.Errorf("host %s does not see its zone", s.ID)
+			return fmt.Errorf("host %s is not ready or has not found all other hosts of its zone", s.ID)
 		}
 	}
-	time.Sleep(time.Second) // zones exchange their summaries
+	time.Sleep(time.Second) // long enough for the zones to exchange their summaries
 	return nil
 }
 
-func (r *rig) startHost(s fleet.HostSpec) error {
+func (r *testbed) startHost(s fleet.HostSpec) error {
 	p, err := fleet.StartHost(filepath.Join(r.bin, "fireflyshiftd"), r.dir, s)
 	r.hosts[s.ID] = p
 	return err
 }
 
-func alive(s core.Status) int {
+func countAlivePeers(s core.Status) int {
 	n := 0
 	for _, p := range s.Peers {
 		if p.Alive {
@@ -138,13 +137,13 @@
 	return n
 }
 
-func (r *rig) status(s fleet.HostSpec) (core.Status, error) {
+func (r *testbed) status(s fleet.HostSpec) (core.Status, error) {
 	var st core.Status
 	return st, getJSON("http://"+s.Admin+"/status", &st)
 }
 
-// scheduler finds the host of a zone that schedules a service.
-func (r *rig) scheduler(service, zone string) (fleet.HostSpec, error) {
+// schedulingHost returns the host of a zone that schedules a service.
+func (r *testbed) schedulingHost(service, zone string) (fleet.HostSpec, error) {
 	for _, s := range r.specs {
 		st, err := r.status(s)
 		if err != nil || s.Zone != zone {
@@ -156,21 +155,22 @@
 			}
 		}
 	}
-	return fleet.HostSpec{}, fmt.Errorf("nobody schedules %s in %s", service, zone)
+	return fleet.HostSpec{}, fmt.Errorf("no host schedules %s in %s", service, zone)
 }
 
-// notScheduling finds a host of a zone that does not schedule a service.
-func (r *rig) notScheduling(service, zone string) (fleet.HostSpec, error) {
-	not, err := r.scheduler(service, zone)
+// nonSchedulingHost returns a host of a zone that does not schedule a service, or the scheduling host if there is no
+// other.
+func (r *testbed) nonSchedulingHost(service, zone string) (fleet.HostSpec, error) {
+	scheduler, err := r.schedulingHost(service, zone)
 	if err != nil {
-		return not, err
+		return scheduler, err
 	}
 	for _, s := range r.specs {
-		if s.Zone == zone && s.ID != not.ID {
+		if s.Zone == zone && s.ID != scheduler.ID {
 			return s, nil
 		}
 	}
-	return not, nil
+	return scheduler, nil
 }
 
 func getJSON(url string, into any) error {
@@ -181,17 +181,17 @@
 	return json.Unmarshal([]byte(text), into)
 }
 
-// usage is what a process has used since its start.
+// usage is a host's cumulative resource usage since its start.
 type usage struct {
 	cpu      time.Duration
 	resident int64 // bytes
-	sent     int64 // bytes between hosts
+	sent     int64 // bytes to other hosts
 	received int64
 	messages int64
 	at       time.Time
 }
 
-func (r *rig) usage(s fleet.HostSpec) (usage, error) {
+func (r *testbed) usage(s fleet.HostSpec) (usage, error) {
 	u := usage{at: time.Now()}
 	pid := r.hosts[s.ID].Pid()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -204,7 +204,7 @@
 	user, _ := strconv.ParseInt(fields[userField], 10, 64)
 	system, _ := strconv.ParseInt(fields[systemField], 10, 64)
 	u.cpu = time.Duration(user+system) * tick
-	u.resident = residentOf(pid)
+	u.resident = residentBytes(pid)
 	var m map[string]map[string]float64
 	if err := getJSON("http://"+s.Admin+"/metrics", &m); err != nil {
 		return u, err
@@ -214,7 +214,7 @@
 	return u, nil
 }
 
-func residentOf(pid int) int64 {
+func residentBytes(pid int) int64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
@@ -228,15 +228,15 @@
 	return 0
 }
 
-// over is what a host used between two readings, per second.
-type over struct {
+// usageRate is a host's resource usage per second between two readings.
+type usageRate struct {
 	cpu, sent, received, messages float64 // cores, bytes, bytes, messages
 	resident                      int64
 }
 
-func since(a, b usage) over {
+func rateBetween(a, b usage) usageRate {
 	t := b.at.Sub(a.at).Seconds()
-	return over{
+	return usageRate{
 		cpu:      (b.cpu - a.cpu).Seconds() / t,
 		sent:     float64(b.sent-a.sent) / t,
 		received: float64(b.received-a.received) / t,
@@ -245,8 +245,8 @@
 	}
 }
 
-// basics are the tiers, services and workspaces that the measurements share.
-func basics(policy string) []record.Raw {
+// baseRecords returns the tiers, services and workspaces that the measurements share.
+func baseRecords(policy string) []record.Raw {
 	return []record.Raw{
 		fleet.Tier("top", 10, 0, 10_000),
 		fleet.Tier("mid", 5, 0, 20_000),
