--- a/internal/bound/solve.go
+++ b/internal/bound/solve.go
@@ -18,7 +18,7 @@
 
 // serverTime returns the work that a service's servers can do in each time cell, in time of the reference server.
 func serverTime(l *Logs, m *Model, cell time.Duration) []float64 {
-	per := make([]float64, int(l.End/cell)+1)
+	perCell := make([]float64, int(l.End/cell)+1)
 	for _, s := range l.Servers {
 		if s.Service != m.Service {
 			continue
@@ -27,24 +27,24 @@
 		if to == 0 {
 			to = l.End + cell
 		}
-		for i := range per {
+		for i := range perCell {
 			if at := time.Duration(i) * cell; at+cell > s.From && at < to {
-				per[i] += m.speedOf(s.ID) * float64(cell)
+				perCell[i] += m.speedOf(s.ID) * float64(cell)
 			}
 		}
 	}
-	return per
+	return perCell
 }
 
 func newCapacity(l *Logs, m *Model, cell time.Duration) *capacity {
-	per := serverTime(l, m, cell)
-	n := len(per)
+	perCell := serverTime(l, m, cell)
+	n := len(perCell)
 	c := &capacity{cell: cell}
 	for s := 0; s < n; s++ {
 		row := make([]float64, n-s)
 		sum := 0.0
 		for t := s; t < n; t++ {
-			sum += per[t]
+			sum += perCell[t]
 			row[t-s] = sum
 		}
 		c.slack = append(c.slack, row)
--- a/internal/measure/overhead.go
+++ b/internal/measure/overhead.go
@@ -110,11 +110,11 @@
 	for i := 0; i < n; i++ {
 		go c.Chat(ctx, r.specs[0].Callers, "notes", fmt.Sprint("p", i), 100_000, true)
 	}
-	held := fleet.WaitUntil(startTimeout, func() bool {
+	reached := fleet.WaitUntil(startTimeout, func() bool {
 		s, err := r.status(r.specs[0])
 		return err == nil && s.Requests >= n
 	})
-	if !held {
+	if !reached {
 		return 0, fmt.Errorf("the host did not reach %d concurrent requests in time", n)
 	}
 	time.Sleep(2 * time.Second)
--- a/internal/measure/policy.go
+++ b/internal/measure/policy.go
@@ -97,7 +97,7 @@
 }
 
 func (x runner) run(m mix, t trial) (result, error) {
-	r, err := x.build(m, t.Policy)
+	r, err := x.startTestbed(m, t.Policy)
 	if err != nil {
 		return result{}, err
 	}
@@ -122,7 +122,7 @@
 	return out, nil
 }
 
-func (x runner) build(m mix, policy string) (*testbed, error) {
+func (x runner) startTestbed(m mix, policy string) (*testbed, error) {
 	r, err := newTestbed(x.bin)
 	if err != nil {
 		return nil, err
