--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -5,9 +5,10 @@
 //
 // Each file covers one concern: members (other hosts), updates (configuration and backend servers, from the store or a
 // peer), registrations and backends (state of each backend server), zones (summaries between availability zones), peers
-// (peer exchange), reading (which hosts read the store), heartbeats, requests (life cycle of a request), place (choice of
-// a backend server), owners (which host owns which backend server), ask and grant (slot requests and their answers),
-// quotas (quota owners), and cold, failing, evacuations, regions and announcements (reasons to send a backend server few
+// (peer exchange), reading (which hosts read the store), heartbeats, requests (life cycle of a request), select (choice of
+// a backend server), predict and speed (expected wait, learned speeds), owners (which host owns which backend server),
+// ownercalls (calls to owners), slotrequests and slotgrants (slot requests and their answers), quotas (quota owners),
+// suspects and quarantine (requests that crash backend servers), and cold, failing, evacuations, regions and announcements (reasons to send a backend server few
 // requests or none).
 package router
 
