--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -3,13 +3,13 @@
 // go, from the loads that hosts report in heartbeats, and exchanges no message per request. In a large fleet a host
 // requests a slot from the host that owns the backend server, and decides alone if the owner does not answer.
 //
-// Each file covers one concern: members (other hosts), updates (configuration and backend servers, from the store or a
-// peer), registrations and backends (state of each backend server), zones (summaries between availability zones), peers
-// (peer exchange), reading (which hosts read the store), heartbeats, requests (life cycle of a request), select (choice of
-// a backend server), predict and speed (expected wait, learned speeds), owners (which host owns which backend server),
-// ownercalls (calls to owners), slotrequests and slotgrants (slot requests and their answers), quotas (quota owners),
-// suspects and quarantine (requests that crash backend servers), and cold, failing, evacuations, regions and announcements (reasons to send a backend server few
-// requests or none).
+// Each file covers one concern: members (other hosts), updates (configuration and backend servers, from the store or
+// a peer), registrations and backends (state of each backend server), zones (summaries between availability zones),
+// peers (peer exchange), reading (which hosts read the store), heartbeats, requests (life cycle of a request), select
+// (choice of a backend server), predict and speed (expected wait, learned speeds), owners (which host owns which
+// backend server), ownercalls (calls to owners), slotrequests and slotgrants (slot requests and their answers),
+// quotas (quota owners), suspects and quarantine (requests that crash backend servers), and cold, failing,
+// evacuations, regions and announcements (reasons to send a backend server few requests or none).
 package router
 
 import (
--- a/internal/router/select.go
+++ b/internal/router/select.go
@@ -98,7 +98,7 @@
 const (
 	classHealthy class = iota
 	classSlow
-	classDoubtful
+	classDoubtful // no longer registered, within the grace period
 	classSuspect
 	classUnreachable
 	numClasses
