--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -42,7 +42,7 @@
 // The store is restored thirty revisions back. Its changes must be applied from then on, though their numbers are lower than
 // known ones. A peer that does not know of this must not restore what was lost.
 func TestLaterEraGoesFirst(t *testing.T) {
-	r := newStandalone(t, "a", "b") // at 10, as of 50
+	r := newStandalone(t, "a", "b") // registered at revision 10, complete as of 50
 	r.Reduce(12*time.Second, listing(inEra(2, 20), servers(inEra(2, 10), "a", "b")))
 	c := servers(inEra(2, 21), "new")
 	gone := changeOf("b", 0, true)
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -49,7 +49,7 @@
 	r                *Router
 	ip               string
 	zone             string
-	frozen           time.Duration // until
+	frozen           time.Duration // until this time
 	cut              bool          // from other hosts
 	refused          bool          // by the store
 	seen             uint64        // revision read from the store
@@ -117,7 +117,7 @@
 	id       uint64
 	host     *worldHost
 	route    *routing.Route
-	mayRun   int // dispatches not proved to have not run
+	mayRun   int // dispatches that may have run
 	sends    int
 	current  string
 	finished bool
