--- a/test/end_test.go
+++ b/test/end_test.go
@@ -16,50 +16,50 @@
 	"fireflyshift/platform/platformtest"
 )
 
-// leastStay is longer than a stopping host stays when no request comes.
-const leastStay = 2600 * time.Millisecond
+// idleStopTime is longer than a stopping host stays when no request comes.
+const idleStopTime = 2600 * time.Millisecond
 
-// connect opens a connection to a host and has one request answered on it.
-func (s *soak) connect(h *soakHost, id string) *soakConn {
+// connectAndCall opens a connection to a host and has one request answered on it.
+func (s *soak) connectAndCall(h *soakHost, id string) *soakConn {
 	c := h.dial()
 	require.NotNil(s.t, c)
 	s.t.Cleanup(func() { _ = c.Close() })
-	require.NoError(s.t, c.send("check", id, soakPause{}).err)
+	require.NoError(s.t, c.send("check", id, requestPause{}).err)
 	return c
 }
 
-// beginStop returns once a host has taken its stop signal.
-func (s *soak) beginStop(h *soakHost) {
+// signalStop returns once a host has taken its stop signal.
+func (s *soak) signalStop(h *soakHost) {
 	h.signal(syscall.SIGTERM)
 	require.Eventually(s.t, func() bool {
 		log, err := os.ReadFile(h.log.Name())
 		return err == nil && bytes.Contains(log, []byte("Stopping."))
-	}, patience, time.Millisecond)
+	}, waitTimeout, time.Millisecond)
 }
 
 // Guards against a stopping host that closes kept connections on which requests have come that it has not read yet: it was
 // paused, or short of processor time, in the last moments before its end.
 func TestRequestsThatAreUnreadAtTheEndOfAHost(t *testing.T) {
 	s := newSoak(t, 1)
-	s.settle()
+	s.endFaults()
 	h := s.hosts[0]
 	conns := make([]*soakConn, 20)
 	for i := range conns {
-		conns[i] = s.connect(h, fmt.Sprintf("before-%d", i))
+		conns[i] = s.connectAndCall(h, fmt.Sprintf("before-%d", i))
 	}
-	s.beginStop(h)
+	s.signalStop(h)
 	h.signal(syscall.SIGSTOP)
 	errs, statuses := make([]error, len(conns)), make([]int, len(conns))
 	var answered sync.WaitGroup
 	for i, c := range conns {
 		answered.Go(func() {
-			r := c.send("check", fmt.Sprintf("unread-%d", i), soakPause{})
+			r := c.send("check", fmt.Sprintf("unread-%d", i), requestPause{})
 			if errs[i] = r.err; r.resp != nil {
 				statuses[i] = r.resp.StatusCode
 			}
 		})
 	}
-	time.Sleep(leastStay)
+	time.Sleep(idleStopTime)
 	h.signal(syscall.SIGCONT)
 	answered.Wait()
 	for i, err := range errs {
@@ -72,7 +72,7 @@
 // Guards against a stopping host that sends a stream on whose body came as it was about to end, and cuts it.
 func TestStreamWhoseBodyComesAroundTheEndIsAnsweredWhole(t *testing.T) {
 	s := newSoak(t, 1)
-	s.settle()
+	s.endFaults()
 	s.mu.Lock()
 	for _, b := range s.backends {
 		b.Pace = 100 * time.Millisecond
@@ -80,7 +80,7 @@
 	s.mu.Unlock()
 	var wg sync.WaitGroup
 	for i, h := range s.hosts {
-		c := s.connect(h, fmt.Sprintf("before-%d", i))
+		c := s.connectAndCall(h, fmt.Sprintf("before-%d", i))
 		wg.Go(func() {
 			h.signal(syscall.SIGTERM)
 			time.Sleep(2430 * time.Millisecond)
@@ -92,11 +92,11 @@
 			time.Sleep(time.Duration(100+10*i) * time.Millisecond)
 			_, _ = io.WriteString(c, "dy")
 			resp, err := http.ReadResponse(c.r, nil)
-			if !assertAnswer(t, err) || resp.StatusCode != http.StatusOK {
+			if !assertComplete(t, err) || resp.StatusCode != http.StatusOK {
 				return
 			}
 			body, err := io.ReadAll(resp.Body)
-			if assertAnswer(t, err) && string(body) != platformtest.Stream(0, soakEvents) {
+			if assertComplete(t, err) && string(body) != platformtest.Stream(0, soakEvents) {
 				t.Errorf("host %d: %q", i, body)
 			}
 		})
@@ -104,7 +104,7 @@
 	wg.Wait()
 }
 
-func assertAnswer(t *testing.T, err error) bool {
+func assertComplete(t *testing.T, err error) bool {
 	if err != nil {
 		t.Errorf("neither a whole answer nor a refusal: %v", err)
 	}
@@ -115,10 +115,10 @@
 // that were opened within the balancer's notice: requests on them are reset.
 func TestRequestsOnConnectionsThatWaitForTheirHostAreAnswered(t *testing.T) {
 	s := newSoak(t, 1)
-	s.settle()
+	s.endFaults()
 	h := s.hosts[0]
-	s.beginStop(h)
-	time.Sleep(soakNotice / 2)
+	s.signalStop(h)
+	time.Sleep(soakBalancerDelay / 2)
 	h.signal(syscall.SIGSTOP)
 	errs := make([]error, 20)
 	var answered sync.WaitGroup
@@ -126,9 +126,9 @@
 		c := h.dial()
 		require.NotNil(t, c)
 		defer c.Close()
-		answered.Go(func() { errs[i] = c.send("check", fmt.Sprintf("waiting-%d", i), soakPause{}).err })
+		answered.Go(func() { errs[i] = c.send("check", fmt.Sprintf("waiting-%d", i), requestPause{}).err })
 	}
-	time.Sleep(leastStay)
+	time.Sleep(idleStopTime)
 	h.signal(syscall.SIGCONT)
 	answered.Wait()
 	for i, err := range errs {
--- a/test/notice_test.go
+++ b/test/notice_test.go
@@ -17,36 +17,36 @@
 // Guards against a stop that ends a connection in the middle of a head: the caller would get no reason and no time to come
 // back.
 func TestStopWaitsForAHeadThatIsStillRead(t *testing.T) {
-	b := stopBed(t, time.Millisecond)
-	c := connect(t, b.callers("a1"))
-	_, err := c.Write([]byte(stockRequest[:headStart]))
+	b := newSingleHostBed(t, time.Millisecond)
+	c := connect(t, b.callerAddr("a1"))
+	_, err := c.Write([]byte(stockRequest[:headBytesSent]))
 	require.NoError(t, err)
 	time.Sleep(50 * time.Millisecond) // the host has read them
 	b.hosts["a1"].Signal(syscall.SIGTERM)
-	time.AfterFunc(drainGrace+time.Second, func() { _, _ = c.Write([]byte(stockRequest[headStart:])) })
+	time.AfterFunc(drainGrace+time.Second, func() { _, _ = c.Write([]byte(stockRequest[headBytesSent:])) })
 	r := c.read()
 	require.Equal(t, http.StatusServiceUnavailable, r.status, "%s", r)
 	require.Equal(t, notRun, r.work)
-	require.NoError(t, b.hosts["a1"].Wait(patience))
+	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 }
 
 // Guards against an idle connection that ends without the word that a request which has just been sent on it has not run.
 func TestStopTellsIdleConnectionsThatNothingRan(t *testing.T) {
-	b := stopBed(t, time.Millisecond)
-	c := connectKept(t, b.callers("a1"))
+	b := newSingleHostBed(t, time.Millisecond)
+	c := connectReused(t, b.callerAddr("a1"))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	r := c.read()
 	require.NoError(t, r.err)
 	require.Equal(t, http.StatusRequestTimeout, r.status)
 	require.Equal(t, notRun, r.work)
-	require.True(t, r.last)
-	require.NoError(t, b.hosts["a1"].Wait(patience))
+	require.True(t, r.closes)
+	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 }
 
 // Guards against a drain limit that cuts a caller off whose answer has begun at this host only.
 func TestDrainLimitWhereAPlainServiceHasBegun(t *testing.T) {
-	b := newBed(t, "a1")
-	b.extra = "limit = 1s\n"
+	b := newTestbed(t, "a1")
+	b.extraSettings = "limit = 1s\n"
 	begun := make(chan struct{}, 1)
 	addr, stop := fleet.Serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprint(w, "part")
@@ -57,7 +57,7 @@
 	t.Cleanup(stop)
 	b.platform.PublishRaw(fleet.Backend("git-1", "git", "zone-a", addr, 4, "active"))
 	b.start()
-	c := connect(t, b.callers("a1"))
+	c := connect(t, b.callerAddr("a1"))
 	_, err := c.Write([]byte(strings.Replace(stockRequest, "Content-Length", "Fireflyshift-Deadline-Ms: "+longDeadline+"\r\nContent-Length", 1)))
 	require.NoError(t, err)
 	<-begun
@@ -69,23 +69,23 @@
 
 // Guards against a caller without a valid key whose body never comes, and that keeps a stopping host until its drain limit.
 func TestRefusedCallerWhoseBodyStaysAwayDoesNotKeepAHost(t *testing.T) {
-	b := newBed(t, "a1")
-	b.addPlain("git-1", "zone-a", time.Millisecond)
+	b := newTestbed(t, "a1")
+	b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
-	c := connect(t, b.callers("a1"))
+	c := connect(t, b.callerAddr("a1"))
 	_, err := c.Write([]byte("POST /services/git/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer wrong\r\nContent-Length: 1000\r\n\r\nhalf"))
 	require.NoError(t, err)
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	r := c.read()
 	require.NoError(t, r.err)
 	require.Equal(t, http.StatusUnauthorized, r.status)
-	require.NoError(t, b.hosts["a1"].Wait(patience))
+	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 }
 
 // Guards against new connections that keep a stopping host until its drain limit, as from a balancer that looks at readiness late.
 func TestConnectionsThatComeOnDoNotKeepAHost(t *testing.T) {
-	b := newBed(t, "a1")
-	b.addPlain("git-1", "zone-a", time.Millisecond)
+	b := newTestbed(t, "a1")
+	b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
 	done := make(chan struct{})
 	go func() { // eight new connections a second, each with one whole request a little later
@@ -96,21 +96,21 @@
 			case <-time.After(125 * time.Millisecond):
 			}
 			go func() {
-				c, err := net.Dial("tcp", b.callers("a1"))
+				c, err := net.Dial("tcp", b.callerAddr("a1"))
 				if err != nil {
 					return
 				}
 				defer c.Close()
 				time.Sleep(150 * time.Millisecond)
 				fmt.Fprint(c, stockRequest)
-				_ = c.SetDeadline(time.Now().Add(patience))
+				_ = c.SetDeadline(time.Now().Add(waitTimeout))
 				_, _ = c.Read(make([]byte, 100))
 			}()
 		}
 	}()
 	time.Sleep(500 * time.Millisecond)
 	b.hosts["a1"].Signal(syscall.SIGTERM)
-	err := b.hosts["a1"].Wait(patience)
+	err := b.hosts["a1"].Wait(waitTimeout)
 	close(done)
 	require.NoError(t, err, "the stop waits for its limit")
 }
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -15,8 +15,8 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// pauses is how often a host is paused: a few times in CI, as often as FIREFLYSHIFT_PAUSES says by hand.
-func pauses() int {
+// pauseCount is how often a host is paused: a few times in CI, as often as FIREFLYSHIFT_PAUSES says by hand.
+func pauseCount() int {
 	if n, err := strconv.Atoi(os.Getenv("FIREFLYSHIFT_PAUSES")); err == nil {
 		return n
 	}
@@ -32,63 +32,63 @@
 func TestWokenHostSendsNothingToALeavingServer(t *testing.T) {
 	for _, role := range []string{"entry", "scheduler"} {
 		t.Run(role, func(t *testing.T) {
-			b := newBed(t, "a1", "a2", "a3")
+			b := newTestbed(t, "a1", "a2", "a3")
 			b.addEngine("e1", "zone-a", fastEngine())
 			b.addEngine("e2", "zone-a", fastEngine())
 			b.start()
-			sleeper := b.scheduler("notes", "zone-a")
+			pausedHost := b.schedulerOf("notes", "zone-a")
 			if role == "entry" {
-				sleeper = b.other("zone-a", sleeper)
+				pausedHost = b.otherHost("zone-a", pausedHost)
 			}
-			awake := b.other("zone-a", sleeper)
+			runningHost := b.otherHost("zone-a", pausedHost)
 			l := startLoad(60, func(worker, i int) fleet.Response {
-				return tiered("mid").Chat(ctx(t), b.callers([]string{awake, sleeper}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
+				return callerWithTier("mid").Chat(testContext(t), b.callerAddr([]string{runningHost, pausedHost}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 			})
 			rng := rand.New(rand.NewPCG(25, 1))
 			late := 0
-			for range pauses() {
-				late += b.pauseBesideLeaving(sleeper, time.Duration(rng.IntN(40_000))*time.Microsecond)
+			for range pauseCount() {
+				late += b.pauseWhileBackendLeaves(pausedHost, time.Duration(rng.IntN(40_000))*time.Microsecond)
 			}
 			for _, a := range l.stop() {
 				require.True(t, a.OK() || a.ErrorKind != "", "%+v", a)
 			}
-			b.requireOnce()
+			b.requireNoneRanTwice()
 			require.Zero(t, late, "requests begun by the leaving engine after the bound")
 		})
 	}
 }
 
-// pauseBesideLeaving pauses a host while e1 begins to leave, and counts what e1 begins after the bound.
-func (b *bed) pauseBesideLeaving(sleeper string, after time.Duration) int {
-	busy := func(engine string, more int) func() bool {
-		before := b.totalRuns(engine)
-		return func() bool { return b.totalRuns(engine) > before+more }
+// pauseWhileBackendLeaves pauses a host while e1 begins to leave, and counts what e1 begins after the bound.
+func (b *testbed) pauseWhileBackendLeaves(pausedHost string, after time.Duration) int {
+	ranMore := func(engine string, more int) func() bool {
+		before := b.runCount(engine)
+		return func() bool { return b.runCount(engine) > before+more }
 	}
-	require.True(b.t, fleet.WaitUntil(patience, busy("e1", 20)))
+	require.True(b.t, fleet.WaitUntil(waitTimeout, ranMore("e1", 20)))
 	time.Sleep(after)
-	b.hosts[sleeper].Signal(syscall.SIGSTOP)
-	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.toServer["e1"].Listen, 8, "leaving"))
-	bound := time.Now().Add(leaveBound)
+	b.hosts[pausedHost].Signal(syscall.SIGSTOP)
+	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.backendProxies["e1"].Listen, 8, "leaving"))
+	bound := time.Now().Add(leaveTimeLimit)
 	time.Sleep(time.Until(bound))
-	b.hosts[sleeper].Signal(syscall.SIGCONT)
-	require.True(b.t, fleet.WaitUntil(patience, busy("e2", 40)))
+	b.hosts[pausedHost].Signal(syscall.SIGCONT)
+	require.True(b.t, fleet.WaitUntil(waitTimeout, ranMore("e2", 40)))
 	late := 0
 	for id, at := range b.engines["e1"].Stats().StartedAt {
 		if at.After(bound) {
 			late++
-			b.explainLate(sleeper, id, at, bound)
+			b.logLateRequest(pausedHost, id, at, bound)
 		}
 	}
 	b.engines["e1"].ResetStats()
-	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.toServer["e1"].Listen, 8, "active"))
+	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.backendProxies["e1"].Listen, 8, "active"))
 	return late
 }
 
-// explainLate shows what the sleeper says of a request that was begun too late.
-func (b *bed) explainLate(sleeper, id string, at, bound time.Time) {
-	_, trail, err := fleet.Get("http://" + b.specs[sleeper].Admin + "/explain/" + id)
-	b.t.Logf("%s began %s, %s after the bound (%v)\n%s", id, at.UTC().Format("15:04:05.000000"), at.Sub(bound), err, trail)
-	for _, line := range strings.Split(b.hosts[sleeper].Log.String(), "\n") {
+// logLateRequest shows what the sleeper says of a request that was begun too late.
+func (b *testbed) logLateRequest(pausedHost, id string, at, bound time.Time) {
+	_, trace, err := fleet.Get("http://" + b.hostSpecs[pausedHost].Admin + "/explain/" + id)
+	b.t.Logf("%s began %s, %s after the bound (%v)\n%s", id, at.UTC().Format("15:04:05.000000"), at.Sub(bound), err, trace)
+	for _, line := range strings.Split(b.hosts[pausedHost].Log.String(), "\n") {
 		if strings.Contains(line, id) || strings.Contains(line, "paused") || strings.Contains(line, "in force") {
 			b.t.Log(line)
 		}
--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -24,52 +24,52 @@
 // server was lost. Nothing is promised of a process that was killed, or paused as its grace ended.
 
 const (
-	// soakNotice is when the platform's balancer has stopped sending connections to a host that is not ready:
+	// soakBalancerDelay is when the platform's balancer has stopped sending connections to a host that is not ready:
 	// one that is opened later reaches a host that may end at any moment.
-	soakNotice = 2500 * time.Millisecond
-	// graceEnds is when after its signal a stopping host may cut answers: its grace but for what its end takes.
-	graceEnds = soakGrace*time.Second - 500*time.Millisecond
-	// endEcho is how long before a process is seen to have ended its last acts may be.
-	endEcho    = 300 * time.Millisecond
-	soakAnswer = 8 * time.Second // twice the callers' deadline
+	soakBalancerDelay = 2500 * time.Millisecond
+	// cutsAllowedAfter is when after its signal a stopping host may cut answers: its grace but for what its end takes.
+	cutsAllowedAfter = soakGraceSeconds*time.Second - 500*time.Millisecond
+	// exitReportDelay is how long before a process is seen to have ended its last acts may be.
+	exitReportDelay   = 300 * time.Millisecond
+	soakAnswerTimeout = 8 * time.Second // twice the callers' deadline
 )
 
-var soakKinds = []string{"stream", "once", "check"}
+var requestKinds = []string{"stream", "once", "check"}
 
-// soakPause is a pause inside a request: after a share of its head, or of its body.
-type soakPause struct {
+// requestPause is a pause inside a request: after a share of its head, or of its body.
+type requestPause struct {
 	inHead, inBody bool
 	pause          time.Duration
 }
 
 type soakConn struct {
 	net.Conn
-	r      *bufio.Reader
-	life   *soakLife
-	opened time.Time
+	r       *bufio.Reader
+	process *soakProcess
+	opened  time.Time
 }
 
-func newSoakConn(conn net.Conn, life *soakLife) *soakConn {
-	return &soakConn{conn, bufio.NewReader(conn), life, time.Now()}
+func newSoakConn(conn net.Conn, process *soakProcess) *soakConn {
+	return &soakConn{conn, bufio.NewReader(conn), process, time.Now()}
 }
 
 // dial connects to a host's process, if there is one.
 func (h *soakHost) dial() *soakConn {
-	life := h.life.Load()
+	process := h.current.Load()
 	conn, err := net.DialTimeout("tcp", h.ip+":18221", time.Second)
 	if err != nil {
 		return nil
 	}
-	if h.life.Load() != life { // it is not known which process took it
+	if h.current.Load() != process { // it is not known which process took it
 		_ = conn.Close()
 		return nil
 	}
-	return newSoakConn(conn, life)
+	return newSoakConn(conn, process)
 }
 
-// quiet tells that the connection is open, and that nothing came on it. It asks the kernel: a read with a deadline
+// openWithoutData tells that the connection is open, and that nothing came on it. It asks the kernel: a read with a deadline
 // that has passed would not look.
-func (c *soakConn) quiet() bool {
+func (c *soakConn) openWithoutData() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil || c.r.Buffered() > 0 {
 		return false
@@ -81,23 +81,23 @@
 	return err == nil && seen == syscall.EAGAIN
 }
 
-// sleep ends early where something comes on the connection.
-func (c *soakConn) sleep(d time.Duration) {
-	for until := time.Now().Add(d); time.Now().Before(until) && c.quiet(); {
+// sleepWhileQuiet ends early where something comes on the connection.
+func (c *soakConn) sleepWhileQuiet(d time.Duration) {
+	for until := time.Now().Add(d); time.Now().Before(until) && c.openWithoutData(); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // soakReply is what a caller saw. Without a time sent nothing was sent.
 type soakReply struct {
-	resp       *http.Response
-	body       string
-	err        error
-	sent, seen time.Time
+	resp               *http.Response
+	body               string
+	err                error
+	sentAt, receivedAt time.Time
 }
 
 // send makes a request, if the connection is open.
-func (c *soakConn) send(kind, id string, p soakPause) soakReply {
+func (c *soakConn) send(kind, id string, p requestPause) soakReply {
 	const body = "body"
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "POST /%s/x HTTP/1.1\r\nHost: %s\r\nX-Fireflyshift-Attempt-Id: %s\r\nX-Fireflyshift-Credential: %s\r\n", kind, soakDomain, id, soakKey)
@@ -110,17 +110,17 @@
 	case p.inBody:
 		first = len(text) - len(body)/2
 	}
-	_ = c.SetDeadline(time.Now().Add(p.pause + soakAnswer))
-	if !c.quiet() {
+	_ = c.SetDeadline(time.Now().Add(p.pause + soakAnswerTimeout))
+	if !c.openWithoutData() {
 		return soakReply{err: net.ErrClosed}
 	}
-	r := soakReply{sent: time.Now()}
+	r := soakReply{sentAt: time.Now()}
 	if _, err := c.Write(text[:first]); err != nil {
 		return soakReply{err: err}
 	}
 	if first < len(text) {
-		c.sleep(p.pause)
-		if c.quiet() {
+		c.sleepWhileQuiet(p.pause)
+		if c.openWithoutData() {
 			_, _ = c.Write(text[first:]) // what the host has said meanwhile is there to be read
 		}
 	}
@@ -130,19 +130,19 @@
 		data, r.err = io.ReadAll(r.resp.Body)
 		r.body = string(data)
 	}
-	r.seen = time.Now()
+	r.receivedAt = time.Now()
 	return r
 }
 
 // call makes one request as a caller does, over a kept connection where there is one.
 func (s *soak) call(rng *rand.Rand, conns map[string]*soakConn) {
 	h := s.hosts[rng.IntN(len(s.hosts))]
-	kind := soakKinds[rng.IntN(len(soakKinds))]
-	p := soakPause{pause: time.Duration(rng.IntN(300)) * time.Millisecond}
+	kind := requestKinds[rng.IntN(len(requestKinds))]
+	p := requestPause{pause: time.Duration(rng.IntN(300)) * time.Millisecond}
 	p.inHead, p.inBody = rng.IntN(32) == 0, rng.IntN(32) == 0
 	c := conns[h.ip]
 	if c == nil {
-		if h.avoided.Load() {
+		if h.outOfBalancer.Load() {
 			return
 		}
 		if c = h.dial(); c == nil {
@@ -150,22 +150,22 @@
 		}
 		conns[h.ip] = c
 	}
-	if !s.try(c, kind, p) {
+	if !s.attempt(c, kind, p) {
 		delete(conns, h.ip)
 	}
 }
 
-// try makes one request and judges what came of it. It tells whether the connection can be used again.
-func (s *soak) try(c *soakConn, kind string, p soakPause) bool {
+// attempt makes one request and judges what came of it. It tells whether the connection can be used again.
+func (s *soak) attempt(c *soakConn, kind string, p requestPause) bool {
 	id := fmt.Sprintf("%s-%d", kind, s.attempts.Add(1))
-	s.note(id, soakCall{kind: kind})
+	s.recordCall(id, soakCall{kind: kind})
 	r := c.send(kind, id, p)
 	if r.resp != nil {
-		s.judge(id, kind, r.resp, r.body, r.err)
+		s.checkAnswer(id, kind, r.resp, r.body, r.err)
 	}
-	if r.err != nil && !r.sent.IsZero() {
+	if r.err != nil && !r.sentAt.IsZero() {
 		s.mu.Lock()
-		s.broken = append(s.broken, brokenCall{r, c.life, id, kind, p, c.opened})
+		s.failedCalls = append(s.failedCalls, failedCall{r, c.process, id, kind, p, c.opened})
 		s.mu.Unlock()
 	}
 	if r.err == nil && !r.resp.Close {
@@ -175,17 +175,17 @@
 	return false
 }
 
-func (s *soak) note(id string, c soakCall) {
+func (s *soak) recordCall(id string, c soakCall) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sent[id] = c
+	s.calls[id] = c
 }
 
-// judge holds one answer against what its caller was promised.
-func (s *soak) judge(id, kind string, resp *http.Response, body string, err error) {
+// checkAnswer holds one answer against what its caller was promised.
+func (s *soak) checkAnswer(id, kind string, resp *http.Response, body string, err error) {
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusRequestTimeout:
-		s.note(id, soakCall{kind, true})
+		s.recordCall(id, soakCall{kind, true})
 		return
 	case resp.StatusCode != http.StatusOK:
 		return
@@ -203,88 +203,88 @@
 	}
 }
 
-// brokenCall is a request of which at least a part was sent, and whose caller has no whole answer.
-type brokenCall struct {
+// failedCall is a request of which at least a part was sent, and whose caller has no whole answer.
+type failedCall struct {
 	soakReply
-	life     *soakLife
+	process  *soakProcess
 	id, kind string
-	soakPause
+	requestPause
 	opened time.Time
 }
 
-// judgeBroken tells a broken promise from what is allowed, by what its caller saw, the signals that its host got, and for
+// checkFailedCall tells a broken promise from what is allowed, by what its caller saw, the signals that its host got, and for
 // an answer that has begun by the host's log.
-func (s *soak) judgeBroken(b brokenCall, log []byte) {
-	stopped, ended := time.UnixMilli(b.life.stopped.Load()), time.UnixMilli(b.life.ended.Load())
-	stopping := b.life.stopped.Load() > 0 && b.seen.After(stopped)
-	ending := stopping && b.life.ended.Load() > 0 && b.seen.After(ended.Add(-endEcho))
+func (s *soak) checkFailedCall(b failedCall, log []byte) {
+	stopped, ended := time.UnixMilli(b.process.stopped.Load()), time.UnixMilli(b.process.ended.Load())
+	stopping := b.process.stopped.Load() > 0 && b.receivedAt.After(stopped)
+	ending := stopping && b.process.ended.Load() > 0 && b.receivedAt.After(ended.Add(-exitReportDelay))
 	switch {
-	case b.life.killed.Load() > 0 && !b.seen.Before(time.UnixMilli(b.life.killed.Load())):
-		s.excused["killed"]++
+	case b.process.killed.Load() > 0 && !b.receivedAt.Before(time.UnixMilli(b.process.killed.Load())):
+		s.allowedFailures["killed"]++
 		return
-	case b.life.pausedUntil.Load() >= b.sent.UnixMilli() && stopping && b.seen.Sub(stopped) > graceEnds:
-		s.excused["paused as the grace ended"]++
+	case b.process.pausedUntil.Load() >= b.sentAt.UnixMilli() && stopping && b.receivedAt.Sub(stopped) > cutsAllowedAfter:
+		s.allowedFailures["paused as the grace ended"]++
 		return
-	case b.resp == nil && stopping && b.opened.Sub(stopped) > soakNotice:
-		s.excused["opened after the balancer's notice"]++
+	case b.resp == nil && stopping && b.opened.Sub(stopped) > soakBalancerDelay:
+		s.allowedFailures["opened after the balancer's notice"]++
 		return
-	case b.resp != nil && stopping && b.seen.Sub(stopped) > graceEnds:
-		s.excused["cut as the grace ended"]++
+	case b.resp != nil && stopping && b.receivedAt.Sub(stopped) > cutsAllowedAfter:
+		s.allowedFailures["cut as the grace ended"]++
 		return
-	case b.resp != nil && b.resp.StatusCode == http.StatusOK && b.kind == "stream" && cutForCause(log, b.id, !ending):
-		s.excused["backend server lost inside a stream"]++
+	case b.resp != nil && b.resp.StatusCode == http.StatusOK && b.kind == "stream" && cutIsExplained(log, b.id, !ending):
+		s.allowedFailures["backend server lost inside a stream"]++
 		return
 	}
 	what := "got neither an answer nor a refusal"
 	if b.resp != nil {
 		what = fmt.Sprintf("was cut after %d bytes of its answer", len(b.body))
 	}
-	how := fmt.Sprintf("%v after its first byte", b.seen.Sub(b.sent))
+	how := fmt.Sprintf("%v after its first byte", b.receivedAt.Sub(b.sentAt))
 	if b.pause > 0 && (b.inHead || b.inBody) {
 		how += fmt.Sprintf(", in two parts (head %t) %v apart", b.inHead, b.pause)
 	}
 	if stopping {
-		how += fmt.Sprintf(", sent %v after the host's stop signal on a connection opened %v after it", b.sent.Sub(stopped).Round(time.Millisecond), b.opened.Sub(stopped).Round(time.Millisecond))
+		how += fmt.Sprintf(", sent %v after the host's stop signal on a connection opened %v after it", b.sentAt.Sub(stopped).Round(time.Millisecond), b.opened.Sub(stopped).Round(time.Millisecond))
 	}
-	if b.life.ended.Load() > 0 {
-		how += fmt.Sprintf(", seen %v after the process's end", b.seen.Sub(ended).Round(time.Millisecond))
+	if b.process.ended.Load() > 0 {
+		how += fmt.Sprintf(", seen %v after the process's end", b.receivedAt.Sub(ended).Round(time.Millisecond))
 	}
-	s.failures = append(s.failures, fmt.Sprintf("%s of %s %s: %v, %s", b.id, b.life.host.ip, what, b.err, how))
+	s.failures = append(s.failures, fmt.Sprintf("%s of %s %s: %v, %s", b.id, b.process.host.ip, what, b.err, how))
 }
 
-// cutForCause tells whether a host's log says why it cut an answer off. Information lines are dropped under load, so that
+// cutIsExplained tells whether a host's log says why it cut an answer off. Information lines are dropped under load, so that
 // one that lacks tells nothing, unless its host was ending and had little to say.
-func cutForCause(log []byte, id string, lacking bool) bool {
+func cutIsExplained(log []byte, id string, ifMissing bool) bool {
 	for line := range bytes.Lines(log) {
 		if bytes.Contains(line, []byte(`"id":"`+id+`"`)) && bytes.Contains(line, []byte(`"outcome"`)) {
 			return !bytes.Contains(line, []byte(`"caller_left"`))
 		}
 	}
-	return lacking
+	return ifMissing
 }
 
 // lateCall is a request on a connection that was open before its host was told to stop.
 type lateCall struct {
 	kind string
-	// used tells that the connection has carried a request before.
-	used  bool
-	after time.Duration // from the signal
-	soakPause
+	// reused tells that the connection has carried a request before.
+	reused bool
+	delay  time.Duration // from the signal
+	requestPause
 }
 
 const (
-	soakVolleys     = 6
-	volleyCallers   = 6
+	burstsPerStop   = 6
+	callersPerBurst = 6
 	slowCallers     = 12
-	firstVolley     = 2450 * time.Millisecond // a host may end soon after soakNotice,
-	nextVolley      = 380 * time.Millisecond  // or once nobody has used it for 0.4 s,
-	lastVolleys     = graceEnds - 100*time.Millisecond
-	volleySpread    = 120  // milliseconds
-	volleyJitter    = 2000 // microseconds
-	slowPauseFrom   = 100  // milliseconds
+	firstBurst      = 2450 * time.Millisecond // a host may end soon after soakNotice,
+	burstInterval   = 380 * time.Millisecond  // or once nobody has used it for 0.4 s,
+	burstsAtCut     = cutsAllowedAfter - 100*time.Millisecond
+	burstSpread     = 120  // milliseconds
+	burstJitter     = 2000 // microseconds
+	slowPauseMin    = 100  // milliseconds
 	slowPauseSpread = 1400
-	// keeperPause keeps a host until its grace ends.
-	keeperPause = (soakGrace + 1) * time.Second
+	// blockingPause keeps a host until its grace ends.
+	blockingPause = (soakGraceSeconds + 1) * time.Second
 )
 
 // lateCalls are the late callers of one planned stop.
@@ -293,25 +293,25 @@
 	calls []lateCall
 }
 
-func (l *lateCalls) add(after time.Duration, p soakPause) {
-	l.calls = append(l.calls, lateCall{soakKinds[l.s.rng.IntN(len(soakKinds))], l.s.rng.IntN(2) == 0, after, p})
+func (l *lateCalls) add(after time.Duration, p requestPause) {
+	l.calls = append(l.calls, lateCall{requestKinds[l.s.rng.IntN(len(requestKinds))], l.s.rng.IntN(2) == 0, after, p})
 }
 
-// volleys come at once, or nearly, again and again.
-func (l *lateCalls) volleys(at, every time.Duration) {
-	for range soakVolleys {
-		at += time.Duration(l.s.rng.IntN(volleySpread)) * time.Millisecond
-		for range volleyCallers {
-			l.add(at+time.Duration(l.s.rng.IntN(volleyJitter))*time.Microsecond, soakPause{})
+// addBursts come at once, or nearly, again and again.
+func (l *lateCalls) addBursts(at, every time.Duration) {
+	for range burstsPerStop {
+		at += time.Duration(l.s.rng.IntN(burstSpread)) * time.Millisecond
+		for range callersPerBurst {
+			l.add(at+time.Duration(l.s.rng.IntN(burstJitter))*time.Microsecond, requestPause{})
 		}
 		at += every
 	}
 }
 
-// slow callers send in two parts, those that pause in the body early, so that the host is left alone later.
-func (l *lateCalls) slow() {
+// addSlow callers send in two parts, those that pause in the body early, so that the host is left alone later.
+func (l *lateCalls) addSlow() {
 	for i := range slowCallers {
-		p := soakPause{inHead: i%2 == 0, inBody: i%2 != 0, pause: time.Duration(slowPauseFrom+l.s.rng.IntN(slowPauseSpread)) * time.Millisecond}
+		p := requestPause{inHead: i%2 == 0, inBody: i%2 != 0, pause: time.Duration(slowPauseMin+l.s.rng.IntN(slowPauseSpread)) * time.Millisecond}
 		latest := 3500
 		if p.inBody {
 			latest = 1000
@@ -320,26 +320,26 @@
 	}
 }
 
-// drawLate draws callers who come around the moments in which a host may end: alone, with slow ones, or at the end of
+// drawLateCalls draws callers who come around the moments in which a host may end: alone, with slow ones, or at the end of
 // the grace, to which one keeps the host.
-func (s *soak) drawLate() []lateCall {
+func (s *soak) drawLateCalls() []lateCall {
 	l := &lateCalls{s: s}
 	switch s.rng.IntN(5) {
 	case 0, 1:
-		l.volleys(firstVolley, nextVolley)
+		l.addBursts(firstBurst, burstInterval)
 	case 2, 3:
-		l.volleys(firstVolley, nextVolley)
-		l.slow()
+		l.addBursts(firstBurst, burstInterval)
+		l.addSlow()
 	default:
-		l.add(time.Second, soakPause{inHead: true, pause: keeperPause})
-		l.slow()
-		l.volleys(lastVolleys, 0)
+		l.add(time.Second, requestPause{inHead: true, pause: blockingPause})
+		l.addSlow()
+		l.addBursts(burstsAtCut, 0)
 	}
 	return l.calls
 }
 
-// come opens the late callers' connections, if the host listens; each then sends once, unless it sees that its connection is closed.
-func (s *soak) come(h *soakHost, calls []lateCall) bool {
+// startLateCalls opens the late callers' connections, if the host listens; each then sends once, unless it sees that its connection is closed.
+func (s *soak) startLateCalls(h *soakHost, calls []lateCall) bool {
 	for _, l := range calls {
 		c := h.dial()
 		if c == nil {
@@ -349,28 +349,28 @@
 		go func() {
 			defer s.stops.Done()
 			defer c.Close()
-			if l.used && !s.try(c, l.kind, soakPause{}) {
+			if l.reused && !s.attempt(c, l.kind, requestPause{}) {
 				return
 			}
-			<-c.life.stopping
-			time.Sleep(l.after)
-			s.try(c, l.kind, l.soakPause)
+			<-c.process.stopping
+			time.Sleep(l.delay)
+			s.attempt(c, l.kind, l.requestPause)
 		}()
 	}
 	return true
 }
 
-// plannedSeeds are run in CI. All of them failed: hosts ended while a request's head was being read, or had just come.
-var plannedSeeds = []uint64{10, 11, 12, 13}
+// plannedWorkSeeds are run in CI. All of them failed: hosts ended while a request's head was being read, or had just come.
+var plannedWorkSeeds = []uint64{10, 11, 12, 13}
 
 // TestSoakPlannedWork guards against requests that get neither an answer nor a refusal, or whose answer is cut, as
 // hosts are stopped in series and together by SIGTERM, while settings and configurations change and anything else fails.
-func TestSoakPlannedWork(t *testing.T) { runSeeds(t, plannedSeeds, (*soak).plannedWork) }
+func TestSoakPlannedWork(t *testing.T) { runSeeds(t, plannedWorkSeeds, (*soak).plannedWork) }
 
 // plannedWork stops hosts one after the other, mostly before the one before has ended.
 func (s *soak) plannedWork() {
 	if s.rng.IntN(3) == 0 {
-		s.disturb()
+		s.injectFault()
 		return
 	}
 	for _, i := range s.rng.Perm(soakHosts)[:1+s.rng.IntN(soakHosts)] {
@@ -380,17 +380,17 @@
 			time.Sleep(time.Duration(s.rng.IntN(800)) * time.Millisecond)
 			switch s.rng.IntN(4) {
 			case 0:
-				if h.age() > time.Second {
+				if h.uptime() > time.Second {
 					h.signal(syscall.SIGHUP)
 				}
 			case 1:
-				s.publish()
+				s.publishConfig()
 			case 2:
-				if h.age() > time.Second && h.life.Load().stopped.Load() > 0 {
+				if h.uptime() > time.Second && h.current.Load().stopped.Load() > 0 {
 					h.signal(syscall.SIGTERM) // once more
 				}
 			default:
-				s.pause(h, time.Duration(100+s.rng.IntN(1500))*time.Millisecond)
+				s.pauseHost(h, time.Duration(100+s.rng.IntN(1500))*time.Millisecond)
 			}
 		}
 	}
@@ -398,9 +398,9 @@
 
 // plannedStop stops a host while late callers come, and starts it again, at times only to stop it at once. One that is being stopped is left to that.
 func (s *soak) plannedStop(h *soakHost) {
-	calls := s.drawLate()
-	notice := time.Duration(s.rng.IntN(int(soakNotice)))
-	again, up := s.rng.IntN(3) == 0, time.Duration(s.rng.IntN(1500))*time.Millisecond
+	calls := s.drawLateCalls()
+	balancerDelay := time.Duration(s.rng.IntN(int(soakBalancerDelay)))
+	stopAgain, uptime := s.rng.IntN(3) == 0, time.Duration(s.rng.IntN(1500))*time.Millisecond
 	if !h.mu.TryLock() {
 		return
 	}
@@ -411,24 +411,24 @@
 		if h.cmd == nil {
 			return
 		}
-		s.stopAmongCallers(h, calls, notice)
-		if again {
-			time.Sleep(up)
-			s.stopAmongCallers(h, calls, notice)
+		s.stopWithLateCallers(h, calls, balancerDelay)
+		if stopAgain {
+			time.Sleep(uptime)
+			s.stopWithLateCallers(h, calls, balancerDelay)
 		}
 	}()
 }
 
-// callersSettle is for late callers' connections to be accepted, and some used.
-const callersSettle = 150 * time.Millisecond
+// lateCallSetup is for late callers' connections to be accepted, and some used.
+const lateCallSetup = 150 * time.Millisecond
 
-func (s *soak) stopAmongCallers(h *soakHost, calls []lateCall, notice time.Duration) {
-	if s.come(h, calls) {
-		time.Sleep(callersSettle)
+func (s *soak) stopWithLateCallers(h *soakHost, calls []lateCall, balancerDelay time.Duration) {
+	if s.startLateCalls(h, calls) {
+		time.Sleep(lateCallSetup)
 	}
-	avoid := time.AfterFunc(notice, func() { h.avoided.Store(true) })
-	s.stop(h, syscall.SIGTERM)
+	avoid := time.AfterFunc(balancerDelay, func() { h.outOfBalancer.Store(true) })
+	s.stopHost(h, syscall.SIGTERM)
 	avoid.Stop()
-	s.start(h)
-	h.avoided.Store(false)
+	s.startHost(h)
+	h.outOfBalancer.Store(false)
 }
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -42,44 +42,44 @@
 var soakSeeds = []uint64{1, 2, 3, 1028}
 
 const (
-	soakFor    = 4 * time.Second
-	soakHosts  = 3
-	soakEvents = 8
-	soakKey    = "soak-key"
-	soakDomain = "soak.example"
-	soakGrace  = 8
-	// soakColdFor and soakColdRate are of a backend server that has just started.
-	soakColdFor  = 2 * time.Second
-	soakColdRate = 5.0
-	logTail      = 20000 // bytes of a host's log that a failure shows
+	soakDuration     = 4 * time.Second
+	soakHosts        = 3
+	soakEvents       = 8
+	soakKey          = "soak-key"
+	soakDomain       = "soak.example"
+	soakGraceSeconds = 8
+	// soakColdStart and soakColdRate are of a backend server that has just started.
+	soakColdStart     = 2 * time.Second
+	soakColdStartRate = 5.0
+	logTailBytes      = 20000 // bytes of a host's log that a failure shows
 )
 
 // soak is one run.
 type soak struct {
-	t        *testing.T
-	rng      *rand.Rand
-	net      int
-	dir      string
-	store    *platformtest.Store
-	version  int
-	proxies  *toxiproxy.ApiServer
-	links    []*toxiproxy.Proxy
-	hosts    []*soakHost
-	mu       sync.Mutex
-	backends []*platformtest.Backend
-	linkOf   map[string]string // the proxy's address by backend server
-	sent     map[string]soakCall
-	failures []string
-	broken   []brokenCall
-	excused  map[string]int // broken calls that break no promise, by why
-	attempts atomic.Int64
-	answered atomic.Int64
+	t               *testing.T
+	rng             *rand.Rand
+	subnet          int
+	dir             string
+	store           *platformtest.Store
+	version         int
+	proxyServer     *toxiproxy.ApiServer
+	links           []*toxiproxy.Proxy
+	hosts           []*soakHost
+	mu              sync.Mutex
+	backends        []*platformtest.Backend
+	proxyAddr       map[string]string // the proxy's address by backend server
+	calls           map[string]soakCall
+	failures        []string
+	failedCalls     []failedCall
+	allowedFailures map[string]int // broken calls that break no promise, by why
+	attempts        atomic.Int64
+	answered        atomic.Int64
 	// stops are planned stops under way, with their late callers.
 	stops sync.WaitGroup
-	// copied is what the store may come back from, and era how often it has; gone are the servers that have left for good.
-	copied *platformtest.Snapshot
-	era    uint64
-	gone   map[string]bool
+	// snapshot is what the store may come back from, and era how often it has; gone are the servers that have left for good.
+	snapshot *platformtest.Snapshot
+	era      uint64
+	removed  map[string]bool
 	// evacuated are the zones that the operator has evacuated.
 	evacuated map[string]bool
 }
@@ -88,16 +88,16 @@
 	ip, dir string
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	life    atomic.Pointer[soakLife]
-	// avoided tells that the balancer sends no new connections.
-	avoided atomic.Bool
-	log     *os.File
+	current atomic.Pointer[soakProcess]
+	// outOfBalancer tells that the balancer sends no new connections.
+	outOfBalancer atomic.Bool
+	log           *os.File
 }
 
-// soakLife is one process of a host. Times are in Unix milliseconds.
-type soakLife struct {
+// soakProcess is one process of a host. Times are in Unix milliseconds.
+type soakProcess struct {
 	host           *soakHost
-	process        *os.Process
+	osProcess      *os.Process
 	started        int64
 	stopped, ended atomic.Int64
 	// stopping is closed as the process is told to stop.
@@ -112,13 +112,13 @@
 	refused bool
 }
 
-var soakNets atomic.Int32
+var subnetCounter atomic.Int32
 
-// claimNet finds a part of the loopback range that no other soak uses, and holds it by a listener.
-func claimNet(t *testing.T) int {
+// claimSubnet finds a part of the loopback range that no other soak uses, and holds it by a listener.
+func claimSubnet(t *testing.T) int {
 	const nets = 250
 	for range nets {
-		number := (os.Getpid() + int(soakNets.Add(1))) % nets
+		number := (os.Getpid() + int(subnetCounter.Add(1))) % nets
 		l, err := net.Listen("tcp", fmt.Sprintf("127.78.%d.254:18220", number))
 		if err == nil {
 			t.Cleanup(func() { _ = l.Close() })
@@ -130,25 +130,25 @@
 }
 
 func newSoak(t *testing.T, seed uint64) *soak {
-	s := &soak{t: t, rng: rand.New(rand.NewPCG(seed, 7)), net: claimNet(t), dir: t.TempDir(),
-		store: platformtest.NewStore(), version: 3, sent: map[string]soakCall{}, excused: map[string]int{}, linkOf: map[string]string{}, gone: map[string]bool{}, evacuated: map[string]bool{},
-		proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())}
-	s.publish()
-	storeAddr := s.listen(s.store)
-	s.backend("models")
-	s.backend("models")
-	s.backend("web")
-	s.backend("web")
+	s := &soak{t: t, rng: rand.New(rand.NewPCG(seed, 7)), subnet: claimSubnet(t), dir: t.TempDir(),
+		store: platformtest.NewStore(), version: 3, calls: map[string]soakCall{}, allowedFailures: map[string]int{}, proxyAddr: map[string]string{}, removed: map[string]bool{}, evacuated: map[string]bool{},
+		proxyServer: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop())}
+	s.publishConfig()
+	storeAddr := s.serve(s.store)
+	s.addBackend("models")
+	s.addBackend("models")
+	s.addBackend("web")
+	s.addBackend("web")
 	for i := 0; i < soakHosts; i++ {
-		s.addHost(i, s.link(storeAddr))
+		s.addHost(i, s.addLink(storeAddr))
 	}
 	t.Cleanup(s.close)
 	return s
 }
 
-func (s *soak) ip(n int) string { return fmt.Sprintf("127.78.%d.%d", s.net, n) }
+func (s *soak) ip(n int) string { return fmt.Sprintf("127.78.%d.%d", s.subnet, n) }
 
-func (s *soak) listen(h http.Handler) string {
+func (s *soak) serve(h http.Handler) string {
 	l, err := net.Listen("tcp", s.ip(250)+":0")
 	require.NoError(s.t, err)
 	srv := &http.Server{Handler: h}
@@ -157,9 +157,9 @@
 	return l.Addr().String()
 }
 
-// link puts a proxy in front of an address.
-func (s *soak) link(upstream string) string {
-	p := toxiproxy.NewProxy(s.proxies, fmt.Sprintf("link-%d", len(s.links)), s.ip(251)+":0", upstream)
+// addLink puts a proxy in front of an address.
+func (s *soak) addLink(upstream string) string {
+	p := toxiproxy.NewProxy(s.proxyServer, fmt.Sprintf("link-%d", len(s.links)), s.ip(251)+":0", upstream)
 	require.NoError(s.t, p.Start())
 	s.t.Cleanup(p.Stop)
 	s.mu.Lock()
@@ -168,19 +168,19 @@
 	return p.Listen
 }
 
-func (s *soak) publish() {
+func (s *soak) publishConfig() {
 	s.version += 1 + s.rng.IntN(3)
 	routes := []platformtest.Route{
-		{Host: soakDomain, Prefix: "/stream/", Kind: "streaming", Service: "models", TimeoutMS: 6000, TargetMS: 500, Attempts: 2, Resumable: true, ColdS: soakColdFor.Seconds(), ColdRate: soakColdRate},
-		{Host: soakDomain, Prefix: "/once/", Kind: "non_idempotent", Service: "web", TimeoutMS: 4000, TargetMS: 500, Attempts: 1, Priority: 1, ColdS: soakColdFor.Seconds(), ColdRate: soakColdRate},
+		{Host: soakDomain, Prefix: "/stream/", Kind: "streaming", Service: "models", TimeoutMS: 6000, TargetMS: 500, Attempts: 2, Resumable: true, ColdS: soakColdStart.Seconds(), ColdRate: soakColdStartRate},
+		{Host: soakDomain, Prefix: "/once/", Kind: "non_idempotent", Service: "web", TimeoutMS: 4000, TargetMS: 500, Attempts: 1, Priority: 1, ColdS: soakColdStart.Seconds(), ColdRate: soakColdStartRate},
 		{Host: soakDomain, Prefix: "/check/", Kind: "idempotent", Service: "web", TimeoutMS: 4000, TargetMS: 500, Attempts: 2, Priority: 2},
 		{Host: soakDomain, Prefix: fmt.Sprintf("/v%d/", s.version), Kind: "idempotent", Service: "web", TimeoutMS: 4000, TargetMS: 500, Attempts: 2},
 	}
 	s.store.Put("op/config", platformtest.Config(s.version, routes, []platformtest.Workspace{{Name: "soak", Keys: []string{soakKey}, Rate: 1e7, Burst: 1e7}}))
 }
 
-// backend starts a backend server behind a proxy and registers it.
-func (s *soak) backend(service string) *platformtest.Backend {
+// addBackend starts a addBackend server behind a proxy and registers it.
+func (s *soak) addBackend(service string) *platformtest.Backend {
 	events := 0
 	if service == "models" {
 		events = soakEvents
@@ -191,12 +191,12 @@
 	require.NoError(s.t, err)
 	s.t.Cleanup(b.Close)
 	reg := b.Registration("ready")
-	addr := s.link(b.Addr())
+	addr := s.addLink(b.Addr())
 	reg["address"] = addr
 	s.store.Put(b.Key(), reg)
 	s.mu.Lock()
 	s.backends = append(s.backends, b)
-	s.linkOf[id] = addr
+	s.proxyAddr[id] = addr
 	s.mu.Unlock()
 	return b
 }
@@ -207,45 +207,47 @@
 	for k := 0; k < soakHosts; k++ {
 		seeds = append(seeds, s.ip(k+1))
 	}
-	file := platformtest.Settings("host-"+strconv.Itoa(i), h.ip, "zone-a", store, seeds)
-	data, err := json.Marshal(file)
+	settings := platformtest.Settings("host-"+strconv.Itoa(i), h.ip, "zone-a", store, seeds)
+	data, err := json.Marshal(settings)
 	require.NoError(s.t, err)
 	require.NoError(s.t, os.WriteFile(filepath.Join(h.dir, "settings.json"), data, 0o600))
 	h.log, err = os.Create(filepath.Join(h.dir, "log"))
 	require.NoError(s.t, err)
 	s.hosts = append(s.hosts, h)
-	s.start(h)
+	s.startHost(h)
 }
 
-func (s *soak) start(h *soakHost) {
-	cmd := exec.Command(filepath.Join(binaries, "fireflyshiftd"), "--platform")
+func (s *soak) startHost(h *soakHost) {
+	cmd := exec.Command(filepath.Join(raceBinDir, "fireflyshiftd"), "--platform")
 	cmd.Env = []string{"FIREFLYSHIFT_SETTINGS=" + filepath.Join(h.dir, "settings.json"), "GORACE=halt_on_error=1 atexit_sleep_ms=0"}
 	cmd.Stdout, cmd.Stderr = h.log, h.log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is killed leaves none behind
 	require.NoError(s.t, cmd.Start())
 	h.cmd = cmd
-	h.life.Store(&soakLife{host: h, process: cmd.Process, started: time.Now().UnixMilli(), stopping: make(chan struct{})})
+	h.current.Store(&soakProcess{host: h, osProcess: cmd.Process, started: time.Now().UnixMilli(), stopping: make(chan struct{})})
 }
 
-func (h *soakHost) age() time.Duration { return time.Since(time.UnixMilli(h.life.Load().started)) }
+func (h *soakHost) uptime() time.Duration {
+	return time.Since(time.UnixMilli(h.current.Load().started))
+}
 
-// end waits for a process and tells how it ended.
-func (h *soakHost) end() error {
+// wait waits for a process and tells how it ended.
+func (h *soakHost) wait() error {
 	err := h.cmd.Wait()
-	h.life.Load().ended.Store(time.Now().UnixMilli())
+	h.current.Load().ended.Store(time.Now().UnixMilli())
 	h.cmd = nil
 	return err
 }
 
 // kill ends a process without its doing.
 func (h *soakHost) kill() {
-	h.life.Load().killed.Store(time.Now().UnixMilli())
+	h.current.Load().killed.Store(time.Now().UnixMilli())
 	h.signal(syscall.SIGKILL)
 }
 
 // signal takes no lock: a paused process must be woken while another goroutine waits for its end.
 func (h *soakHost) signal(sig syscall.Signal) {
-	_ = h.life.Load().process.Signal(sig)
+	_ = h.current.Load().osProcess.Signal(sig)
 }
 
 func (s *soak) close() {
@@ -256,14 +258,14 @@
 		time.Sleep(time.Second)
 		for _, h := range s.hosts {
 			log, _ := os.ReadFile(h.log.Name())
-			s.t.Logf("host %s, the end of its log:\n%s", h.ip, log[max(0, len(log)-logTail):])
+			s.t.Logf("host %s, the end of its log:\n%s", h.ip, log[max(0, len(log)-logTailBytes):])
 		}
 	}
 	for _, h := range s.hosts {
 		h.mu.Lock()
 		if h.cmd != nil {
 			h.kill()
-			_ = h.end()
+			_ = h.wait()
 		}
 		h.mu.Unlock()
 		_ = h.log.Close()
@@ -276,107 +278,107 @@
 	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// disturb does one thing at random. It runs on one goroutine, so that a seed gives one series.
-func (s *soak) disturb() {
+// injectFault does one thing at random. It runs on one goroutine, so that a seed gives one series.
+func (s *soak) injectFault() {
 	h := s.hosts[s.rng.IntN(len(s.hosts))]
 	switch s.rng.IntN(25) {
 	case 0:
-		s.later(h, syscall.SIGKILL, time.Duration(s.rng.IntN(500))*time.Millisecond)
+		s.restartHost(h, syscall.SIGKILL, time.Duration(s.rng.IntN(500))*time.Millisecond)
 	case 1:
-		s.later(h, syscall.SIGTERM, 0)
+		s.restartHost(h, syscall.SIGTERM, 0)
 	case 2:
-		s.pause(h, time.Duration(100+s.rng.IntN(1500))*time.Millisecond)
+		s.pauseHost(h, time.Duration(100+s.rng.IntN(1500))*time.Millisecond)
 	case 3:
-		if h.age() > time.Second {
+		if h.uptime() > time.Second {
 			h.signal(syscall.SIGHUP)
 		}
 	case 4:
-		s.publish()
+		s.publishConfig()
 	case 5, 6:
-		s.poison()
+		s.disturbLink()
 	case 7:
-		s.misbehave()
+		s.makeBackendMisbehave()
 	case 8:
-		s.store.SetFault(s.storeFault())
+		s.store.SetFault(s.randomStoreFault())
 	case 9:
 		s.store.Compact()
 	case 10:
-		s.replace()
+		s.replaceBackend()
 	case 11:
-		s.haunt(h)
+		s.sendStrayDatagrams(h)
 	case 12:
-		s.startAgain()
+		s.restartBackend()
 	case 13:
-		s.scribble()
+		s.overwriteRegistration()
 	case 14:
 		copied := s.store.Snapshot()
-		s.copied = &copied
+		s.snapshot = &copied
 	case 15, 16:
-		s.comeBack()
+		s.restoreStore()
 	case 17:
-		old := s.anyBackend()
-		s.backend(old.Service)
+		old := s.randomBackend()
+		s.addBackend(old.Service)
 		old.AnnounceLeaving() // and its registration goes on saying that it is ready
 	case 18, 19:
-		s.evacuate([]string{"zone-a", "zone-b"}[s.rng.IntN(2)], time.Duration(200+s.rng.IntN(1500))*time.Millisecond)
+		s.evacuateFor([]string{"zone-a", "zone-b"}[s.rng.IntN(2)], time.Duration(200+s.rng.IntN(1500))*time.Millisecond)
 	case 20:
-		s.coldStart()
+		s.replaceWithColdBackend()
 	case 21:
-		s.anyBackend().ShedLoad([]string{"0.3", "1.5", "soon"}[s.rng.IntN(3)])
+		s.randomBackend().ShedLoad([]string{"0.3", "1.5", "soon"}[s.rng.IntN(3)])
 	default:
 		s.store.SetFault(nil)
-		s.cure()
+		s.healLinks()
 	}
 }
 
-// later ends a process by a signal, from outside, and starts it again after a pause.
-func (s *soak) later(h *soakHost, sig syscall.Signal, down time.Duration) {
+// restartHost ends a process by a signal, from outside, and starts it again after a pause.
+func (s *soak) restartHost(h *soakHost, sig syscall.Signal, downtime time.Duration) {
 	go func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if h.cmd == nil {
 			return
 		}
-		s.stop(h, sig)
-		time.Sleep(down)
-		s.start(h)
+		s.stopHost(h, sig)
+		time.Sleep(downtime)
+		s.startHost(h)
 	}()
 }
 
-// stop ends a process by SIGKILL, or by SIGTERM and within its grace.
-func (s *soak) stop(h *soakHost, sig syscall.Signal) {
-	life := h.life.Load()
-	life.stopped.Store(time.Now().UnixMilli())
-	close(life.stopping)
+// stopHost ends a process by SIGKILL, or by SIGTERM and within its grace.
+func (s *soak) stopHost(h *soakHost, sig syscall.Signal) {
+	process := h.current.Load()
+	process.stopped.Store(time.Now().UnixMilli())
+	close(process.stopping)
 	if sig == syscall.SIGKILL {
 		h.kill()
 	} else {
 		h.signal(sig)
 	}
-	kill := time.AfterFunc((soakGrace+2)*time.Second, func() {
+	kill := time.AfterFunc((soakGraceSeconds+2)*time.Second, func() {
 		s.fail("a stopped host was still there after its grace")
 		h.kill()
 	})
-	err := h.end()
+	err := h.wait()
 	kill.Stop()
 	// A process that has just been started dies of the signal: it serves nobody yet.
-	if sig == syscall.SIGTERM && err != nil && h.age() > 5*time.Second {
+	if sig == syscall.SIGTERM && err != nil && h.uptime() > 5*time.Second {
 		s.fail("a stopped host ended with %v", err)
 	}
 }
 
-// pauseEcho is how long after a pause its host may still do late what it had to do meanwhile.
-const pauseEcho = time.Second
+// afterPause is how long after a pause its host may still do late what it had to do meanwhile.
+const afterPause = time.Second
 
-func (s *soak) pause(h *soakHost, d time.Duration) {
-	life := h.life.Load()
-	life.pausedUntil.Store(max(life.pausedUntil.Load(), time.Now().Add(d+pauseEcho).UnixMilli()))
+func (s *soak) pauseHost(h *soakHost, d time.Duration) {
+	process := h.current.Load()
+	process.pausedUntil.Store(max(process.pausedUntil.Load(), time.Now().Add(d+afterPause).UnixMilli()))
 	h.signal(syscall.SIGSTOP)
 	time.AfterFunc(d, func() { h.signal(syscall.SIGCONT) })
 }
 
-// poison harms one link: delay, silence in one direction, reset, or a cut after some bytes.
-func (s *soak) poison() {
+// disturbLink harms one link: delay, silence in one direction, reset, or a cut after some bytes.
+func (s *soak) disturbLink() {
 	kinds := []string{
 		`{"name":"x","type":"latency","stream":"%s","attributes":{"latency":150,"jitter":100}}`,
 		`{"name":"x","type":"timeout","stream":"%s","attributes":{"timeout":0}}`,
@@ -390,7 +392,7 @@
 	_, _ = link.Toxics.AddToxicJson(strings.NewReader(fmt.Sprintf(kinds[s.rng.IntN(len(kinds))], stream)))
 }
 
-func (s *soak) cure() {
+func (s *soak) healLinks() {
 	s.mu.Lock()
 	links := append([]*toxiproxy.Proxy(nil), s.links...)
 	s.mu.Unlock()
@@ -399,11 +401,11 @@
 	}
 }
 
-func (s *soak) misbehave() {
+func (s *soak) makeBackendMisbehave() {
 	kind := platformtest.Behaviour(s.rng.IntN(int(platformtest.RefusesEarly) + 1))
 	share := s.rng.IntN(4)
 	var n atomic.Int64
-	b := s.anyBackend()
+	b := s.randomBackend()
 	b.Behave(func(*http.Request) platformtest.Behaviour {
 		if int(n.Add(1))%4 <= share {
 			return kind
@@ -412,42 +414,42 @@
 	})
 }
 
-func (s *soak) anyBackend() *platformtest.Backend {
+func (s *soak) randomBackend() *platformtest.Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.backends[s.rng.IntN(len(s.backends))]
 }
 
-func (s *soak) storeFault() func(*http.Request) platformtest.Fault {
+func (s *soak) randomStoreFault() func(*http.Request) platformtest.Fault {
 	f := []platformtest.Fault{{Status: 503}, {Status: 429}, {Drop: true}, {Hang: true}, {Delay: 300 * time.Millisecond}}[s.rng.IntN(5)]
 	return func(*http.Request) platformtest.Fault { return f }
 }
 
-// haunt sends datagrams to a host from an address where no daemon runs: torn ones, and beats of a host
+// sendStrayDatagrams sends datagrams to a host from an address where no daemon runs: torn ones, and beats of a host
 // that claims to know a newer configuration and to carry a lot, and that then falls silent. Questions
 // for its news meet a closed port.
-func (s *soak) haunt(h *soakHost) {
-	ghost := s.ip(252)
-	conn, err := net.DialUDP("udp4", &net.UDPAddr{IP: net.ParseIP(ghost)}, &net.UDPAddr{IP: net.ParseIP(h.ip), Port: platformtest.PeerPort})
+func (s *soak) sendStrayDatagrams(h *soakHost) {
+	absentHost := s.ip(252)
+	conn, err := net.DialUDP("udp4", &net.UDPAddr{IP: net.ParseIP(absentHost)}, &net.UDPAddr{IP: net.ParseIP(h.ip), Port: platformtest.PeerPort})
 	require.NoError(s.t, err)
 	defer conn.Close()
-	beat := &gossippb.Beat{Host: ghost, Zone: "zone-a", Incarnation: s.rng.Uint64(), ConfigVersion: 1 << 40, Revision: 1 << 50, Digest: 1,
+	heartbeat := &gossippb.Beat{Host: absentHost, Zone: "zone-a", Incarnation: s.rng.Uint64(), ConfigVersion: 1 << 40, Revision: 1 << 50, Digest: 1,
 		ReadsStore: true, Spent: []*gossippb.Spent{{Workspace: "soak", Amount: 1 << 40}}, Dead: []uint32{1, 2}}
 	for i := 0; i < 10; i++ {
-		beat.Seq++
-		data, err := proto.Marshal(beat)
+		heartbeat.Seq++
+		data, err := proto.Marshal(heartbeat)
 		require.NoError(s.t, err)
 		_, _ = conn.Write(data)
 		_, _ = conn.Write(data[:s.rng.IntN(len(data))])
 	}
 }
 
-// replace puts a new backend server beside one that then drains and leaves, or crashes.
-func (s *soak) replace() {
-	old := s.anyBackend()
-	s.backend(old.Service)
+// replaceBackend puts a new backend server beside one that then drains and leaves, or crashes.
+func (s *soak) replaceBackend() {
+	old := s.randomBackend()
+	s.addBackend(old.Service)
 	s.mu.Lock()
-	s.gone[old.ID] = true
+	s.removed[old.ID] = true
 	s.mu.Unlock()
 	if s.rng.IntN(2) == 0 {
 		old.Close()
@@ -458,8 +460,8 @@
 	time.AfterFunc(time.Second, func() { s.store.Remove(old.Key()) })
 }
 
-// evacuate asks that a zone's backend servers get nothing for a time.
-func (s *soak) evacuate(zone string, d time.Duration) {
+// evacuateFor asks that a zone's backend servers get nothing for a time.
+func (s *soak) evacuateFor(zone string, d time.Duration) {
 	s.setEvacuated(zone, true)
 	time.AfterFunc(d, func() { s.setEvacuated(zone, false) })
 }
@@ -480,26 +482,26 @@
 	s.store.Remove("op/evacuate/" + zone)
 }
 
-// coldStart puts a backend server beside one that then leaves; the new one crashes under more requests than it bears.
-func (s *soak) coldStart() {
-	old := s.anyBackend()
-	b := s.backend(old.Service)
-	b.StartCold(soakColdFor, soakColdRate)
+// replaceWithColdBackend puts a backend server beside one that then leaves; the new one crashes under more requests than it bears.
+func (s *soak) replaceWithColdBackend() {
+	old := s.randomBackend()
+	b := s.addBackend(old.Service)
+	b.StartCold(soakColdStart, soakColdStartRate)
 	reg := b.Registration("ready")
 	s.mu.Lock()
-	reg["address"] = s.linkOf[b.ID]
+	reg["address"] = s.proxyAddr[b.ID]
 	s.mu.Unlock()
 	s.store.Put(b.Key(), reg)
 }
 
-// startAgain breaks a backend server's connections and registers it as the next start under its ID; at
+// restartBackend breaks a backend server's connections and registers it as the next start under its ID; at
 // times a write of the earlier start comes late.
-func (s *soak) startAgain() {
-	b := s.anyBackend()
+func (s *soak) restartBackend() {
+	b := s.randomBackend()
 	old := b.Born
 	b.Born = max(time.Now().UnixMilli(), old+1)
 	s.mu.Lock()
-	addr := s.linkOf[b.ID]
+	addr := s.proxyAddr[b.ID]
 	s.mu.Unlock()
 	b.Reset()
 	register := func(born int64, state string) {
@@ -513,27 +515,27 @@
 	}
 }
 
-// scribble writes what no backend server writes where one is registered, and lets it register again.
-func (s *soak) scribble() {
-	b := s.anyBackend()
+// overwriteRegistration writes what no backend server writes where one is registered, and lets it register again.
+func (s *soak) overwriteRegistration() {
+	b := s.randomBackend()
 	good := b.Registration("ready")
 	s.mu.Lock()
-	good["address"] = s.linkOf[b.ID]
+	good["address"] = s.proxyAddr[b.ID]
 	s.mu.Unlock()
 	bad := []any{[]byte("\xff"), []byte("{}"), []byte("null"), map[string]any{"service": "web", "address": s.ip(253) + ":1", "state": "ready"}}
 	s.store.Put(b.Key(), bad[s.rng.IntN(len(bad))])
 	time.AfterFunc(300*time.Millisecond, func() { s.store.Put(b.Key(), good) })
 }
 
-// comeBack brings the store back from an older copy. The servers and the operator write again what was lost, within two
+// restoreStore brings the store back from an older copy. The servers and the operator write again what was lost, within two
 // seconds; the leases of those that have left run out.
-func (s *soak) comeBack() {
-	if s.copied == nil {
+func (s *soak) restoreStore() {
+	if s.snapshot == nil {
 		return
 	}
 	s.era++
-	s.store.Restore(*s.copied, s.era)
-	s.publish()
+	s.store.Restore(*s.snapshot, s.era)
+	s.publishConfig()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for zone := range s.evacuated {
@@ -541,10 +543,10 @@
 	}
 	for _, b := range s.backends {
 		reg := b.Registration("ready")
-		reg["address"] = s.linkOf[b.ID]
+		reg["address"] = s.proxyAddr[b.ID]
 		time.AfterFunc(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
 			s.mu.Lock()
-			gone := s.gone[b.ID]
+			gone := s.removed[b.ID]
 			s.mu.Unlock()
 			if gone {
 				s.store.Remove(b.Key())
@@ -555,18 +557,18 @@
 	}
 }
 
-// settle ends all faults and waits until every host serves again.
-func (s *soak) settle() {
+// endFaults ends all faults and waits until every host serves again.
+func (s *soak) endFaults() {
 	s.store.SetFault(nil)
-	s.cure()
+	s.healLinks()
 	s.mu.Lock()
 	for _, b := range s.backends {
 		b.Behave(nil)
 	}
 	s.mu.Unlock()
-	s.backend("models")
-	s.backend("web")
-	s.publish()
+	s.addBackend("models")
+	s.addBackend("web")
+	s.publishConfig()
 	for _, h := range s.hosts {
 		var last atomic.Value // what the host answered
 		last.Store("nothing")
@@ -577,24 +579,24 @@
 				return false
 			}
 			defer conn.Close()
-			c := newSoakConn(conn, h.life.Load())
+			c := newSoakConn(conn, h.current.Load())
 			id := fmt.Sprintf("check-%d", s.attempts.Add(1))
-			s.note(id, soakCall{kind: "check"})
-			r := c.send(fmt.Sprintf("v%d", s.version), id, soakPause{})
+			s.recordCall(id, soakCall{kind: "check"})
+			r := c.send(fmt.Sprintf("v%d", s.version), id, requestPause{})
 			if r.resp == nil {
 				return false
 			}
 			last.Store(r.resp.Status + " " + r.body)
 			return r.err == nil && r.resp.StatusCode == http.StatusOK && r.body == "whole answer of "+id
-		}, patience, 100*time.Millisecond, "host %s does not serve the newest configuration", h.ip)
+		}, waitTimeout, 100*time.Millisecond, "host %s does not serve the newest configuration", h.ip)
 		if !served {
 			s.t.Fatalf("the last answer of %s: %s", h.ip, last.Load())
 		}
 	}
 }
 
-// check holds what the backend servers ran against what callers sent and were told.
-func (s *soak) check() {
+// checkInvariants holds what the backend servers ran against what callers sent and were told.
+func (s *soak) checkInvariants() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	runs := map[string]int{}
@@ -607,7 +609,7 @@
 		}
 	}
 	for id, n := range runs {
-		c, known := s.sent[id]
+		c, known := s.calls[id]
 		switch {
 		case !known:
 			s.failures = append(s.failures, id+" ran and was never sent")
@@ -623,9 +625,9 @@
 			s.t.Error(err)
 			continue
 		}
-		for _, b := range s.broken {
-			if b.life.host == h {
-				s.judgeBroken(b, log)
+		for _, b := range s.failedCalls {
+			if b.process.host == h {
+				s.checkFailedCall(b, log)
 			}
 		}
 		for _, bad := range []string{"DATA RACE", "panic:", "An invariant does not hold"} {
@@ -636,9 +638,9 @@
 	}
 }
 
-func runSoak(t *testing.T, seed uint64, span time.Duration, disturb func(*soak)) {
+func runSoak(t *testing.T, seed uint64, duration time.Duration, disturb func(*soak)) {
 	s := newSoak(t, seed)
-	s.settle()
+	s.endFaults()
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for i := 0; i < 8; i++ {
@@ -658,37 +660,37 @@
 			}
 		}()
 	}
-	for end := time.Now().Add(span); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		disturb(s)
 		time.Sleep(time.Duration(50+s.rng.IntN(300)) * time.Millisecond)
 	}
 	s.stops.Wait()
-	s.settle()
+	s.endFaults()
 	close(stop)
 	callers.Wait()
-	s.check()
+	s.checkInvariants()
 	for _, f := range s.failures {
 		t.Errorf("seed %d: %s", seed, f)
 	}
 	require.Positive(t, s.answered.Load())
-	t.Logf("seed %d: %d tries, %d answered whole, %d broken, excused: %v", seed, len(s.sent), s.answered.Load(), len(s.broken), s.excused)
+	t.Logf("seed %d: %d tries, %d answered whole, %d broken, excused: %v", seed, len(s.calls), s.answered.Load(), len(s.failedCalls), s.allowedFailures)
 }
 
 // TestSoak runs the seeds of CI. FIREFLYSHIFT_SOAK_SEEDS=FROM-TO runs others, by hand.
-func TestSoak(t *testing.T) { runSeeds(t, soakSeeds, (*soak).disturb) }
+func TestSoak(t *testing.T) { runSeeds(t, soakSeeds, (*soak).injectFault) }
 
 func runSeeds(t *testing.T, seeds []uint64, disturb func(*soak)) {
-	span := soakFor
+	duration := soakDuration
 	if v := os.Getenv("FIREFLYSHIFT_SOAK_SEEDS"); v != "" {
 		var from, to uint64
 		_, err := fmt.Sscanf(v, "%d-%d", &from, &to)
 		require.NoError(t, err, "give FROM-TO")
-		seeds, span = nil, 3*soakFor
+		seeds, duration = nil, 3*soakDuration
 		for n := from; n <= to; n++ {
 			seeds = append(seeds, n)
 		}
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed, span, disturb) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed, duration, disturb) })
 	}
 }
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -26,41 +26,41 @@
 const (
 	// drainGrace is that of fleet.HostSpec.INI.
 	drainGrace = 300 * time.Millisecond
-	// headStart is how many bytes of a head a caller has sent as its host is told to stop.
-	headStart = 30
+	// headBytesSent is how many bytes of a head a caller has sent as its host is told to stop.
+	headBytesSent = 30
 	// longDeadline is far over what a stopping host may take.
 	longDeadline = "600000"
 	notRun       = "not run"
 	mayHaveRun   = "may have run"
 )
 
-// restAfter are the times from the end of the drain grace until a caller sends the rest of its request; the host's own
+// remainderDelays are the times from the end of the drain grace until a caller sends the rest of its request; the host's own
 // limits, 5 s for a head and 10 s for a body, leave room for all.
-var restAfter = []time.Duration{time.Second, 3 * time.Second}
+var remainderDelays = []time.Duration{time.Second, 3 * time.Second}
 
-// connection is a caller's connection whose bytes the test writes itself.
-type connection struct {
+// rawConn is a caller's rawConn whose bytes the test writes itself.
+type rawConn struct {
 	*net.TCPConn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 // reply is what a caller reads on a connection; err is set where no whole answer came.
 type reply struct {
 	status int
 	work   string
-	last   bool // the host says that it closes the connection
+	closes bool // the host says that it closes the connection
 	err    error
 }
 
-func connect(t *testing.T, addr string) *connection {
+func connect(t *testing.T, addr string) *rawConn {
 	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	return &connection{conn.(*net.TCPConn), bufio.NewReader(conn)}
+	return &rawConn{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// connectKept returns a connection that has had an answer.
-func connectKept(t *testing.T, addr string) *connection {
+// connectReused returns a connection that has had an answer.
+func connectReused(t *testing.T, addr string) *rawConn {
 	c := connect(t, addr)
 	_, err := c.Write([]byte(stockRequest))
 	require.NoError(t, err)
@@ -68,9 +68,9 @@
 	return c
 }
 
-func (c *connection) read() reply {
-	_ = c.SetReadDeadline(time.Now().Add(patience))
-	resp, err := http.ReadResponse(c.in, nil)
+func (c *rawConn) read() reply {
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return reply{err: err}
 	}
@@ -88,8 +88,8 @@
 	return fmt.Sprintf("status %d, work %q, error %v", r.status, r.work, err)
 }
 
-// closing tells that the host has ended its side of the connection, or has sent something unasked.
-func (c *connection) closing() bool {
+// closedByHost tells that the host has ended its side of the connection, or has sent something unasked.
+func (c *rawConn) closedByHost() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
@@ -102,24 +102,24 @@
 	return !open
 }
 
-// answered tells that a caller knows where it stands: a whole answer, or a refusal that says that nothing ran.
-func (r reply) answered() bool {
+// definitive tells that a caller knows where it stands: a whole answer, or a refusal that says that nothing ran.
+func (r reply) definitive() bool {
 	return r.err == nil && (r.status == http.StatusOK || (r.status >= http.StatusBadRequest && r.work == notRun))
 }
 
 func plainRequest(method, body string) string {
 	return fmt.Sprintf("%s /services/git/stock HTTP/1.1\r\nHost: fireflyshift\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
-		method, school, len(body), body)
+		method, workspaceKey, len(body), body)
 }
 
 var stockRequest = plainRequest("GET", "")
 
-// requireAnswerOverStop sends the first bytes of requests, tells the host to stop, and sends the rest later. Callers read
+// requireAnswersAcrossStop sends the first bytes of requests, tells the host to stop, and sends the rest later. Callers read
 // from the start, so that no answer is lost to them.
-func requireAnswerOverStop(t *testing.T, b *bed, open func(*testing.T, string) *connection, request string, first int, after ...time.Duration) {
-	var callers []*connection
+func requireAnswersAcrossStop(t *testing.T, b *testbed, open func(*testing.T, string) *rawConn, request string, first int, after ...time.Duration) {
+	var callers []*rawConn
 	for range after {
-		c := open(t, b.callers("a1"))
+		c := open(t, b.callerAddr("a1"))
 		_, err := c.Write([]byte(request[:first]))
 		require.NoError(t, err)
 		callers = append(callers, c)
@@ -137,40 +137,40 @@
 	}
 	wg.Wait()
 	for i, r := range replies {
-		assert.True(t, r.answered(), "rest after %s: %s", after[i], r)
+		assert.True(t, r.definitive(), "rest after %s: %s", after[i], r)
 	}
-	require.NoError(t, b.hosts["a1"].Wait(patience))
-	b.requireOnce()
+	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
+	b.requireNoneRanTwice()
 }
 
-func stopBed(t *testing.T, work time.Duration) *bed {
-	b := newBed(t, "a1")
-	b.addPlain("git-1", "zone-a", work)
+func newSingleHostBed(t *testing.T, work time.Duration) *testbed {
+	b := newTestbed(t, "a1")
+	b.addPlainService("git-1", "zone-a", work)
 	return b.start()
 }
 
 // Guards against a stop that closes a new connection while the head of its first request is read.
 func TestStopAnswersAHeadOnANewConnection(t *testing.T) {
-	requireAnswerOverStop(t, stopBed(t, time.Millisecond), connect, stockRequest, headStart, restAfter...)
+	requireAnswersAcrossStop(t, newSingleHostBed(t, time.Millisecond), connect, stockRequest, headBytesSent, remainderDelays...)
 }
 
 // Guards against a stop that takes a kept connection for idle while the head of its next request is read.
 func TestStopAnswersAHeadOnAKeptConnection(t *testing.T) {
-	requireAnswerOverStop(t, stopBed(t, time.Millisecond), connectKept, stockRequest, headStart, restAfter...)
+	requireAnswersAcrossStop(t, newSingleHostBed(t, time.Millisecond), connectReused, stockRequest, headBytesSent, remainderDelays...)
 }
 
 // Guards against a stop that cuts a request whose body is still read; the last caller never sends the rest.
 func TestStopAnswersABodyThatIsStillRead(t *testing.T) {
 	body := strings.Repeat("x", 4000)
 	request := plainRequest("POST", body)
-	requireAnswerOverStop(t, stopBed(t, time.Millisecond), connectKept, request, len(request)-len(body)/2, append(restAfter, -1)...)
+	requireAnswersAcrossStop(t, newSingleHostBed(t, time.Millisecond), connectReused, request, len(request)-len(body)/2, append(remainderDelays, -1)...)
 }
 
 // Guards against an end that drops whole requests which arrive on idle connections as these are closed.
 func TestStopDropsNoRequestOnAKeptConnection(t *testing.T) {
 	const callers, rounds = 32, 8
-	b := newBed(t, "a1", "a2")
-	b.addPlain("git-1", "zone-a", time.Millisecond)
+	b := newTestbed(t, "a1", "a2")
+	b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
 	answered, lost := 0, map[string]int{}
 	for round := range rounds {
@@ -181,31 +181,31 @@
 		replies := make(chan reply)
 		var wg sync.WaitGroup
 		for range callers {
-			c := connectKept(t, b.callers("a1"))
+			c := connectReused(t, b.callerAddr("a1"))
 			wg.Add(1)
-			go func() { defer wg.Done(); c.askUntilClosed(replies) }()
+			go func() { defer wg.Done(); c.callUntilClosed(replies) }()
 		}
 		go func() { wg.Wait(); close(replies) }()
 		b.hosts["a1"].Signal(syscall.SIGTERM)
 		for r := range replies {
-			if r.answered() {
+			if r.definitive() {
 				answered++
 			} else {
 				lost[r.String()]++
 			}
 		}
-		require.NoError(t, b.hosts["a1"].Wait(patience))
+		require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 	}
 	t.Logf("%d answered, without an answer: %v", answered, lost)
 	require.Empty(t, lost)
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// askUntilClosed sends whole requests, each after a look whether the host has closed the connection.
-func (c *connection) askUntilClosed(replies chan<- reply) {
+// callUntilClosed sends whole requests, each after a look whether the host has closed the connection.
+func (c *rawConn) callUntilClosed(replies chan<- reply) {
 	for {
 		time.Sleep(rand.N(4 * time.Millisecond))
-		if c.closing() {
+		if c.closedByHost() {
 			return
 		}
 		if _, err := c.Write([]byte(stockRequest)); err != nil {
@@ -214,51 +214,51 @@
 		}
 		r := c.read()
 		replies <- r
-		if r.last || r.err != nil {
+		if r.closes || r.err != nil {
 			return
 		}
 	}
 }
 
 // Guards against a second signal that cuts connections on which no status was sent.
-func TestSecondSignalAnswersWhoStillWaits(t *testing.T) { requireStatusAtTheEnd(t, true) }
+func TestSecondSignalAnswersWhoStillWaits(t *testing.T) { requireStatusOnForcedStop(t, true) }
 
 // Guards against a drain limit that cuts connections on which no status was sent.
-func TestDrainLimitAnswersWhoStillWaits(t *testing.T) { requireStatusAtTheEnd(t, false) }
+func TestDrainLimitAnswersWhoStillWaits(t *testing.T) { requireStatusOnForcedStop(t, false) }
 
-// requireStatusAtTheEnd stops a host whose backend servers do not answer. What was sent to them may have run; what waits
+// requireStatusOnForcedStop stops a host whose backend servers do not answer. What was sent to them may have run; what waits
 // for a place has not.
-func requireStatusAtTheEnd(t *testing.T, second bool) {
-	b := newBed(t, "a1")
-	b.extra = "limit = 2s\n" // in [drain], which the settings end with
+func requireStatusOnForcedStop(t *testing.T, secondSignal bool) {
+	b := newTestbed(t, "a1")
+	b.extraSettings = "limit = 2s\n" // in [drain], which the settings end with
 	slow := engine.DefaultOptions()
 	slow.Step, slow.Batch = time.Minute, 2
 	b.addEngine("e1", "zone-a", slow)
-	s := b.addPlain("git-1", "zone-a", time.Minute)
+	s := b.addPlainService("git-1", "zone-a", time.Minute)
 	b.start()
 	answers := make(map[string]chan fleet.Response)
-	ask := func(name string, call func(*fleet.Caller, context.Context) fleet.Response) {
+	start := func(name string, call func(*fleet.Caller, context.Context) fleet.Response) {
 		done := make(chan fleet.Response, 1)
 		answers[name] = done
-		c := b.caller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-		go func() { done <- call(c, ctx(t)) }()
+		c := b.newCaller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
+		go func() { done <- call(c, testContext(t)) }()
 	}
 	chat := func(prompt string, stream bool) func(*fleet.Caller, context.Context) fleet.Response {
 		return func(c *fleet.Caller, ctx context.Context) fleet.Response {
-			return c.Chat(ctx, b.callers("a1"), "notes", prompt, 5, stream)
+			return c.Chat(ctx, b.callerAddr("a1"), "notes", prompt, 5, stream)
 		}
 	}
-	ask("plain", func(c *fleet.Caller, ctx context.Context) fleet.Response {
-		return c.Call(ctx, "GET", b.callers("a1"), "git", "stock", nil)
+	start("plain", func(c *fleet.Caller, ctx context.Context) fleet.Response {
+		return c.Call(ctx, "GET", b.callerAddr("a1"), "git", "stock", nil)
 	})
-	ask("chat", chat("one", false))
-	ask("stream", chat("two", true))
-	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 2 && len(s.Runs()) == 1 }))
-	ask("waiting", chat("three", false))
-	require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Requests == len(answers) }))
+	start("chat", chat("one", false))
+	start("stream", chat("two", true))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 2 && len(s.Runs()) == 1 }))
+	start("waiting", chat("three", false))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Requests == len(answers) }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
-	if second {
-		require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Draining }))
+	if secondSignal {
+		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Draining }))
 		b.hosts["a1"].Signal(syscall.SIGTERM)
 	}
 	for name, done := range answers {
@@ -268,90 +268,92 @@
 		}
 		assert.True(t, a.Err == nil && a.Status >= http.StatusInternalServerError && a.Work == work, "%s: %+v", name, a)
 		if a.Work == notRun {
-			assert.Zero(t, b.engineRuns()[a.RequestID]+s.Runs()[a.RequestID], "%s: %+v", name, a)
+			assert.Zero(t, b.runsByRequest()[a.RequestID]+s.Runs()[a.RequestID], "%s: %+v", name, a)
 		}
 	}
-	require.NoError(t, b.hosts["a1"].Wait(patience))
-	b.requireOnce()
+	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
+	b.requireNoneRanTwice()
 }
 
 // Guards against a stop that keeps the ticket of a request which never ran: its next try would be refused for ten minutes.
 func TestDrainLimitGivesTheTicketBackOfWhatWaits(t *testing.T) {
-	b := newBed(t, "a1", "a2")
-	b.extra = "limit = 1s\n" // in [drain], which the settings end with
-	s := b.addPlain("git-1", "zone-a", time.Minute)
-	b.platform.PublishRaw(fleet.Backend("git-1", "git", "zone-a", b.toServer["git-1"].Listen, 1, "active"))
+	b := newTestbed(t, "a1", "a2")
+	b.extraSettings = "limit = 1s\n" // in [drain], which the settings end with
+	s := b.addPlainService("git-1", "zone-a", time.Minute)
+	b.platform.PublishRaw(fleet.Backend("git-1", "git", "zone-a", b.backendProxies["git-1"].Listen, 1, "active"))
 	b.start()
-	patient := tiered("top").WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-	go patient.Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil) // takes the only place
-	require.True(t, fleet.WaitUntil(patience, func() bool { return len(s.Runs()) == 1 }))
-	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
+	longCaller := callerWithTier("top").WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
+	go longCaller.Call(testContext(t), "GET", b.callerAddr("a1"), "git", "stock", nil) // takes the only place
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
+	ticket := b.newCaller().Ticket(testContext(t), b.callerAddr("a1"))
 	first := make(chan fleet.Response, 1)
 	go func() {
-		first <- patient.WithHeader("Fireflyshift-Idempotent", "no").WithHeader("Fireflyshift-Ticket", ticket).
-			Call(ctx(t), "POST", b.callers("a2"), "git", "grade-thread", []byte("well done"))
+		first <- longCaller.WithHeader("Fireflyshift-Idempotent", "no").WithHeader("Fireflyshift-Ticket", ticket).
+			Call(testContext(t), "POST", b.callerAddr("a2"), "git", "grade-thread", []byte("well done"))
 	}()
-	require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Tickets == 1 && b.status("a2").Requests == 1 }))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Tickets == 1 && b.status("a2").Requests == 1 }))
 	b.hosts["a2"].Signal(syscall.SIGTERM)
 	assert.Equal(t, notRun, (<-first).Work)
-	require.NoError(t, b.hosts["a2"].Wait(patience))
-	b.addPlain("git-2", "zone-a", time.Millisecond)
-	again := post(t, b.callers("a1"), ticket, "note")
-	require.True(t, again.OK(), "%+v", again)
-	b.requireOnce()
+	require.NoError(t, b.hosts["a2"].Wait(waitTimeout))
+	b.addPlainService("git-2", "zone-a", time.Millisecond)
+	retry := postWithTicket(t, b.callerAddr("a1"), ticket, "note")
+	require.True(t, retry.OK(), "%+v", retry)
+	b.requireNoneRanTwice()
 }
 
 // Guards against a drain in which a request waits for its whole deadline, since no host schedules its service any more.
 func TestDrainOfTheOnlyHostAnswersWhatWaits(t *testing.T) {
-	b := newBed(t, "a1")
+	b := newTestbed(t, "a1")
 	o := fastEngine()
 	o.Batch = 1
 	b.addEngine("e1", "zone-a", o)
 	b.start()
 	chat := func(prompt string, tokens int) chan fleet.Response {
 		done := make(chan fleet.Response, 1)
-		c := b.caller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-		go func() { done <- c.Chat(ctx(t), b.callers("a1"), "notes", prompt, tokens, false) }()
+		c := b.newCaller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
+		go func() { done <- c.Chat(testContext(t), b.callerAddr("a1"), "notes", prompt, tokens, false) }()
 		return done
 	}
 	first := chat("first", 500)
-	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 1 }))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 1 }))
 	second := chat("second", 5)
-	require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Requests == 2 }))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Requests == 2 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	require.True(t, (<-first).OK())
 	a := <-second
 	require.True(t, a.OK() || (a.Err == nil && a.Work == notRun), "%+v", a)
-	require.NoError(t, b.hosts["a1"].Wait(patience))
-	b.requireOnce()
+	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
+	b.requireNoneRanTwice()
 }
 
 // Guards against a hangup, as of a closed terminal, that ends the process with requests in flight.
 func TestHangupCutsNoRequest(t *testing.T) {
-	b := stopBed(t, time.Second)
-	s := b.plains["git-1"]
+	b := newSingleHostBed(t, time.Second)
+	s := b.plainServices["git-1"]
 	done := make(chan fleet.Response, 1)
-	go func() { done <- tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil) }()
-	require.True(t, fleet.WaitUntil(patience, func() bool { return len(s.Runs()) == 1 }))
+	go func() {
+		done <- callerWithTier("top").Call(testContext(t), "GET", b.callerAddr("a1"), "git", "stock", nil)
+	}()
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGHUP)
 	a := <-done
 	require.True(t, a.OK(), "%+v", a)
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
 // Guards against a ticket of a draining host, which goes with it: its first use elsewhere would be refused as may have run.
 func TestTicketOfADrainingHostIsGoodElsewhere(t *testing.T) {
-	b := newBed(t, "a1", "a2")
-	s := b.addPlain("git-1", "zone-a", 2*time.Second)
+	b := newTestbed(t, "a1", "a2")
+	s := b.addPlainService("git-1", "zone-a", 2*time.Second)
 	b.start()
-	go tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil) // keeps the host draining
-	require.True(t, fleet.WaitUntil(patience, func() bool { return len(s.Runs()) == 1 }))
+	go callerWithTier("top").Call(testContext(t), "GET", b.callerAddr("a1"), "git", "stock", nil) // keeps the host draining
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
-	require.True(t, fleet.WaitUntil(patience, func() bool { return b.status("a1").Draining }))
-	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
-	require.NoError(t, b.hosts["a1"].Wait(patience))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Draining }))
+	ticket := b.newCaller().Ticket(testContext(t), b.callerAddr("a1"))
+	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 	if ticket != "" { // a refusal sends the caller to another host
-		a := post(t, b.callers("a2"), ticket, "note")
+		a := postWithTicket(t, b.callerAddr("a2"), ticket, "note")
 		require.True(t, a.OK(), "%+v", a)
 	}
 }
--- a/test/surface_test.go
+++ b/test/surface_test.go
@@ -25,13 +25,13 @@
 
 // Every kind of bad input gets a typed refusal that is true, names the remedy, and runs nothing.
 func TestBadInputs(t *testing.T) {
-	b := newBed(t, "a1")
-	b.extra = "[limits]\nmax_body_bytes = 2000\n"
+	b := newTestbed(t, "a1")
+	b.extraSettings = "[limits]\nmax_body_bytes = 2000\n"
 	b.addEngine("e1", "zone-a", fastEngine())
-	s := b.addPlain("git-1", "zone-a", time.Millisecond)
+	s := b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.platform.PublishRaw(fleet.Workspace("small", "small-key", []string{"low"}, 1))
 	b.start()
-	host := b.callers("a1")
+	host := b.callerAddr("a1")
 	good := `{"model":"notes","messages":[{"role":"user","content":"x"}],"max_tokens":1}`
 	chat, git := "/v1/chat/completions", "/services/git/x"
 	cases := []struct {
@@ -63,11 +63,11 @@
 	before := len(s.Runs())
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			caller := fleet.NewCaller(school).WithHeader("Fireflyshift-Tier", "low")
+			caller := fleet.NewCaller(workspaceKey).WithHeader("Fireflyshift-Tier", "low")
 			for k, v := range c.headers {
 				caller = caller.WithHeader(k, v)
 			}
-			a := caller.Do(ctx(t), "POST", "http://"+host+c.path, []byte(c.body))
+			a := caller.Do(testContext(t), "POST", "http://"+host+c.path, []byte(c.body))
 			require.Equal(t, c.status, a.Status, "%+v", a)
 			require.Equal(t, c.kind, a.ErrorKind)
 			require.Contains(t, a.Text, "; ", "the message names the remedy")
@@ -75,19 +75,19 @@
 				require.Equal(t, "not run", a.Work)
 			}
 			if c.kind == "ticket_required" {
-				again := caller.WithHeader("Fireflyshift-Ticket", a.Ticket).Do(ctx(t), "POST", "http://"+host+c.path, nil)
-				require.True(t, again.OK(), "%+v", again)
+				retry := caller.WithHeader("Fireflyshift-Ticket", a.Ticket).Do(testContext(t), "POST", "http://"+host+c.path, nil)
+				require.True(t, retry.OK(), "%+v", retry)
 				before++
 			}
 		})
 	}
 	require.Len(t, s.Runs(), before, "only the repeat with its ticket ran")
-	require.Empty(t, b.engineRuns())
-	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, headerStatus(t, host))
+	require.Empty(t, b.runsByRequest())
+	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, statusForLargeHeader(t, host))
 }
 
-// headerStatus sends headers over the limit.
-func headerStatus(t *testing.T, host string) int {
+// statusForLargeHeader sends headers over the limit.
+func statusForLargeHeader(t *testing.T, host string) int {
 	req, err := http.NewRequest("GET", "http://"+host+"/services/git/x", nil)
 	require.NoError(t, err)
 	req.Header.Set("X-Large", strings.Repeat("x", 64<<10))
@@ -99,27 +99,27 @@
 
 // An operator looks for where a request went, and why there.
 func TestExplain(t *testing.T) {
-	b := newBed(t, "a1", "a2")
+	b := newTestbed(t, "a1", "a2")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "p", 5, true)
+	a := callerWithTier("mid").Chat(testContext(t), b.callerAddr("a1"), "notes", "p", 5, true)
 	require.True(t, a.OK())
-	out, code := ctl("explain", a.RequestID, "--host", b.specs["a2"].Admin, "--host", b.specs["a1"].Admin)
+	out, code := runCtl("explain", a.RequestID, "--host", b.hostSpecs["a2"].Admin, "--host", b.hostSpecs["a1"].Admin)
 	require.Zero(t, code, out)
 	require.Contains(t, out, "dispatched to e1")
 	require.Contains(t, out, "complete answer from e1")
-	_, code = ctl("explain", "nobody", "--host", b.specs["a1"].Admin)
+	_, code = runCtl("explain", "nobody", "--host", b.hostSpecs["a1"].Admin)
 	require.Equal(t, 1, code)
-	_, code = ctl("status", "--host", "127.0.0.1:1")
+	_, code = runCtl("status", "--host", "127.0.0.1:1")
 	require.Equal(t, 3, code)
-	_, code = ctl("status", "--host", b.specs["a1"].Admin, "--host", "127.0.0.1:1")
+	_, code = runCtl("status", "--host", b.hostSpecs["a1"].Admin, "--host", "127.0.0.1:1")
 	require.Equal(t, 4, code)
-	_, code = ctl("status")
+	_, code = runCtl("status")
 	require.Equal(t, 2, code)
-	out, code = ctl("status", "--json", "--host", b.specs["a1"].Admin)
+	out, code = runCtl("status", "--json", "--host", b.hostSpecs["a1"].Admin)
 	require.Zero(t, code)
 	require.True(t, json.Valid([]byte(out)), out)
-	_, code = ctl("watch", "--revision", "999999", "--timeout", "300ms", "--host", b.specs["a1"].Admin)
+	_, code = runCtl("watch", "--revision", "999999", "--timeout", "300ms", "--host", b.hostSpecs["a1"].Admin)
 	require.Equal(t, 1, code)
 }
 
@@ -132,7 +132,7 @@
 		return path
 	}
 	tier := write("tier.json", `[{"kind":"tier","name":"top","schema":1,"body":{"priority":3}}]`)
-	out, code := ctl("check", tier, "../configs/fireflyshiftd.ini", "../configs/records.json")
+	out, code := runCtl("check", tier, "../configs/fireflyshiftd.ini", "../configs/records.json")
 	require.Zero(t, code, out)
 	for name, c := range map[string]struct{ text, want string }{
 		"syntax.json":   {"{\n\"kind\": tier}", "line 2"},
@@ -150,60 +150,60 @@
 		"e.ini":         {"[tls]\npeers_cert = x\n", "all three or none"},
 		"f.ini":         {"[host\n", "correct the INI syntax"},
 	} {
-		out, code := ctl("check", write(name, c.text))
+		out, code := runCtl("check", write(name, c.text))
 		require.Equal(t, 1, code, "%s: %s", name, out)
 		require.Contains(t, out, c.want, name)
 		require.Contains(t, out, name, "the file is named")
 	}
-	out, code = ctl("check", filepath.Join(dir, "absent.json"))
+	out, code = runCtl("check", filepath.Join(dir, "absent.json"))
 	require.Equal(t, 1, code, out)
 }
 
 // A request crosses three hops: caller to host, host to the scheduling host, host to the engine.
 // On call, one has to see all of them in one trace.
 func TestOneTraceOverAllHops(t *testing.T) {
-	b := newBed(t, "a1", "a2")
-	b.extra = "[traces]\nexporter = stdout\n"
+	b := newTestbed(t, "a1", "a2")
+	b.extraSettings = "[traces]\nexporter = stdout\n"
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	scheduler := b.scheduler("notes", "zone-a")
-	entry := b.other("zone-a", scheduler)
+	scheduler := b.schedulerOf("notes", "zone-a")
+	entry := b.otherHost("zone-a", scheduler)
 	trace := "4bf92f3577b34da6a3ce929d0e0e4736"
-	c := tiered("mid").WithHeader("Traceparent", "00-"+trace+"-00f067aa0ba902b7-01")
-	require.True(t, c.Chat(ctx(t), b.callers(entry), "notes", "p", 5, true).OK())
-	for _, id := range b.order {
+	c := callerWithTier("mid").WithHeader("Traceparent", "00-"+trace+"-00f067aa0ba902b7-01")
+	require.True(t, c.Chat(testContext(t), b.callerAddr(entry), "notes", "p", 5, true).OK())
+	for _, id := range b.hostIDs {
 		b.hosts[id].Signal(15)
-		require.NoError(t, b.hosts[id].Wait(patience))
+		require.NoError(t, b.hosts[id].Wait(waitTimeout))
 	}
 	entryLog, schedulerLog := b.hosts[entry].Log.String(), b.hosts[scheduler].Log.String()
-	require.Regexp(t, spanOf("caller to host", trace), entryLog)
-	require.Regexp(t, spanOf("host to host: slot", trace), entryLog)
-	require.Regexp(t, spanOf("host to backend server", trace), entryLog)
-	require.Regexp(t, spanOf("scheduler: wait for slot", trace), schedulerLog)
+	require.Regexp(t, spanPattern("caller to host", trace), entryLog)
+	require.Regexp(t, spanPattern("host to host: slot", trace), entryLog)
+	require.Regexp(t, spanPattern("host to backend server", trace), entryLog)
+	require.Regexp(t, spanPattern("scheduler: wait for slot", trace), schedulerLog)
 }
 
-func spanOf(name, trace string) *regexp.Regexp {
+func spanPattern(name, trace string) *regexp.Regexp {
 	return regexp.MustCompile(`"Name":"` + regexp.QuoteMeta(name) + `","SpanContext":\{"TraceID":"` + trace)
 }
 
 // Hosts prove themselves to each other. A process without a certificate of ours reaches the peer
 // port; it must learn nothing and change nothing, while hosts with one work together.
 func TestPeersWithoutOurCertificateGetNothing(t *testing.T) {
-	b := newBed(t, "a1", "a2", "a3")
-	ours, theirs := newAuthority(t), newAuthority(t)
-	b.addPlain("git-1", "zone-a", time.Millisecond)
-	for _, id := range b.order {
-		by := ours
+	b := newTestbed(t, "a1", "a2", "a3")
+	trustedCA, untrustedCA := newTestCA(t), newTestCA(t)
+	b.addPlainService("git-1", "zone-a", time.Millisecond)
+	for _, id := range b.hostIDs {
+		ca := trustedCA
 		if id == "a3" {
-			by = theirs
+			ca = untrustedCA
 		}
-		spec := b.specs[id]
+		spec := b.hostSpecs[id]
 		spec.Routes = nil // the certificates name the real addresses
-		b.specs[id] = spec
-		b.extra = by.settings(t, b.dir, id)
+		b.hostSpecs[id] = spec
+		b.extraSettings = ca.tlsSettings(t, b.dir, id)
 		b.startHost(id)
 	}
-	require.True(t, fleet.WaitUntil(patience, func() bool {
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool {
 		s := b.status("a1")
 		return len(s.Peers) == 2 && s.Peers[0].Alive
 	}), "%s", b.hosts["a1"].Log)
@@ -211,16 +211,16 @@
 	for _, p := range b.status("a1").Peers {
 		require.Equal(t, p.Host == "a2", p.Alive, "%+v", p)
 	}
-	require.True(t, tiered("top").Call(ctx(t), "GET", b.callers("a2"), "git", "x", nil).OK())
+	require.True(t, callerWithTier("top").Call(testContext(t), "GET", b.callerAddr("a2"), "git", "x", nil).OK())
 }
 
-// authority signs test certificates.
-type authority struct {
+// testCA signs test certificates.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority(t *testing.T) *authority {
+func newTestCA(t *testing.T) *testCA {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	tmpl := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test root"}, NotAfter: time.Now().Add(time.Hour),
@@ -229,11 +229,11 @@
 	require.NoError(t, err)
 	cert, err := x509.ParseCertificate(der)
 	require.NoError(t, err)
-	return &authority{cert, key}
+	return &testCA{cert, key}
 }
 
-// settings writes a certificate for a host and returns the INI text that names it.
-func (a *authority) settings(t *testing.T, dir, id string) string {
+// tlsSettings writes a certificate for a host and returns the INI text that names it.
+func (a *testCA) tlsSettings(t *testing.T, dir, id string) string {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	tmpl := &x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: id}, NotAfter: time.Now().Add(time.Hour),
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -21,7 +21,7 @@
 // All engines write long listing tags when a push check's hint is asked for at the end of a lesson.
 // The class would wait for a tag to end; instead a tag is suspended, and still gets all its text.
 func TestUrgentWorkDisplacesAndTheDisplacedWorkIsWhole(t *testing.T) {
-	b := newBed(t, "a1", "a2")
+	b := newTestbed(t, "a1", "a2")
 	o := fastEngine()
 	o.Batch = 2
 	b.addEngine("e1", "zone-a", o)
@@ -31,18 +31,18 @@
 	for i := 0; i < 4; i++ {
 		go func() {
 			prompt := fmt.Sprint("tag ", i)
-			a := tiered("low").Chat(ctx(t), b.callers([]string{"a1", "a2"}[i%2]), "notes", prompt, 1500, true)
-			if a.OK() && a.Text != expected(prompt, 1500) {
+			a := callerWithTier("low").Chat(testContext(t), b.callerAddr([]string{"a1", "a2"}[i%2]), "notes", prompt, 1500, true)
+			if a.OK() && a.Text != expectedAnswer(prompt, 1500) {
 				a.Err = fmt.Errorf("torn text")
 			}
 			low <- a
 		}()
 	}
-	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 4 }))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 4 }))
 	time.Sleep(100 * time.Millisecond)
-	a := tiered("top").Chat(ctx(t), b.callers("a1"), "notes", "urgent", 10, true)
+	a := callerWithTier("top").Chat(testContext(t), b.callerAddr("a1"), "notes", "urgent", 10, true)
 	require.True(t, a.OK(), "%+v", a)
-	require.Equal(t, expected("urgent", 10), a.Text)
+	require.Equal(t, expectedAnswer("urgent", 10), a.Text)
 	suspended := 0
 	for _, e := range b.engines {
 		suspended += e.Stats().Suspended
@@ -52,13 +52,13 @@
 		answer := <-low
 		require.True(t, answer.OK(), "%+v", answer.Err)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
 // A burst of three times the capacity, over all tiers, at the end of a lesson. Work of the top tier
 // must all be answered; what is shed is shed from the bottom, at once, with a time to come back.
 func TestBurstShedsFromTheBottom(t *testing.T) {
-	b := newBed(t, "a1", "a2")
+	b := newTestbed(t, "a1", "a2")
 	o := fastEngine()
 	o.Batch = 4
 	b.addEngine("e1", "zone-a", o)
@@ -72,73 +72,73 @@
 	for i := 0; i < 300; i++ {
 		tier := tiers[min(2, i%10/4)] // 4 low, 4 mid, 2 top in ten
 		go func() {
-			c := tiered(tier).WithHeader("Fireflyshift-Deadline-Ms", "6000")
-			results <- result{tier, c.Chat(ctx(t), b.callers([]string{"a1", "a2"}[i%2]), "notes", fmt.Sprint("p", i), 20, true)}
+			c := callerWithTier(tier).WithHeader("Fireflyshift-Deadline-Ms", "6000")
+			results <- result{tier, c.Chat(testContext(t), b.callerAddr([]string{"a1", "a2"}[i%2]), "notes", fmt.Sprint("p", i), 20, true)}
 		}()
 	}
-	whole, refused := map[string]int{}, map[string]int{}
+	answered, refused := map[string]int{}, map[string]int{}
 	for i := 0; i < 300; i++ {
 		r := <-results
 		if r.OK() {
-			whole[r.tier]++
+			answered[r.tier]++
 			continue
 		}
 		refused[r.tier]++
 		require.NotEmpty(t, r.ErrorKind, "%+v", r.Response)
 		if r.Work == "not run" {
 			require.NotEmpty(t, r.RetryAfter, "%+v", r.Response)
-			require.Zero(t, b.engineRuns()[r.RequestID])
+			require.Zero(t, b.runsByRequest()[r.RequestID])
 		}
 	}
-	require.Equal(t, 60, whole["top"], "whole %v, refused %v", whole, refused)
-	require.GreaterOrEqual(t, whole["mid"], whole["low"])
-	b.requireOnce()
+	require.Equal(t, 60, answered["top"], "whole %v, refused %v", answered, refused)
+	require.GreaterOrEqual(t, answered["mid"], answered["low"])
+	b.requireNoneRanTwice()
 }
 
 // The host that schedules the engines dies in the middle of a burst. Callers of other hosts must
 // all get an answer: their streams go on, what waits moves to the next scheduler.
 func TestSchedulerDiesInTheMiddleOfABurst(t *testing.T) {
-	b := newBed(t, "a1", "a2", "a3")
+	b := newTestbed(t, "a1", "a2", "a3")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	old := b.scheduler("notes", "zone-a")
-	entry := b.other("zone-a", old)
+	oldScheduler := b.schedulerOf("notes", "zone-a")
+	entry := b.otherHost("zone-a", oldScheduler)
 	answers := make(chan fleet.Response, 60)
 	for i := 0; i < 60; i++ {
 		go func() {
 			prompt := fmt.Sprint("p", i)
-			a := tiered("mid").Chat(ctx(t), b.callers(entry), "notes", prompt, 100, true)
-			if a.OK() && a.Text != expected(prompt, 100) {
+			a := callerWithTier("mid").Chat(testContext(t), b.callerAddr(entry), "notes", prompt, 100, true)
+			if a.OK() && a.Text != expectedAnswer(prompt, 100) {
 				a.Err = fmt.Errorf("torn text")
 			}
 			answers <- a
 		}()
 	}
-	require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) > 10 }))
-	b.hosts[old].Kill()
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) > 10 }))
+	b.hosts[oldScheduler].Kill()
 	for i := 0; i < 60; i++ {
 		a := <-answers
 		require.True(t, a.OK(), "%+v", a)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
 // Thousands of callers return at once after an outage. The host must answer each at once, with
 // bounded memory, and serve again as if nothing had been.
 func TestThunderingReturnOfCallers(t *testing.T) {
-	b := newBed(t, "a1")
-	b.extra = "[limits]\nmax_requests = 200\n"
-	b.programs = unraced
+	b := newTestbed(t, "a1")
+	b.extraSettings = "[limits]\nmax_requests = 200\n"
+	b.binDir = noRaceBinDir
 	o := fastEngine()
 	o.Batch = 4
 	b.addEngine("e1", "zone-a", o)
 	b.start()
 	const callers = 2000
 	results := make(chan fleet.Response, callers)
-	c := tiered("mid").WithHeader("Fireflyshift-Deadline-Ms", "5000")
+	c := callerWithTier("mid").WithHeader("Fireflyshift-Deadline-Ms", "5000")
 	c.Client.Transport.(*http.Transport).MaxConnsPerHost = 500
 	for i := 0; i < callers; i++ {
-		go func() { results <- c.Chat(ctx(t), b.callers("a1"), "notes", fmt.Sprint("p", i), 5, false) }()
+		go func() { results <- c.Chat(testContext(t), b.callerAddr("a1"), "notes", fmt.Sprint("p", i), 5, false) }()
 	}
 	var all []fleet.Response
 	for i := 0; i < callers; i++ {
@@ -150,9 +150,9 @@
 	resident := residentKB(t, b.hosts["a1"].Pid())
 	t.Logf("resident: %d KB", resident)
 	require.Less(t, resident, 150_000)
-	a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "after", 5, false)
+	a := callerWithTier("mid").Chat(testContext(t), b.callerAddr("a1"), "notes", "after", 5, false)
 	require.True(t, a.OK(), "%+v", a)
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
 func residentKB(t *testing.T, pid int) int {
@@ -172,16 +172,16 @@
 // Callers with broken clients open connections and send bodies byte by byte, or never. Others must
 // not wait for them, and each of them is told what was wrong.
 func TestSlowCallersCostOthersNothing(t *testing.T) {
-	b := newBed(t, "a1")
-	b.extra = "[limits]\nbody_timeout = 500ms\nmax_requests = 10\n"
+	b := newTestbed(t, "a1")
+	b.extraSettings = "[limits]\nbody_timeout = 500ms\nmax_requests = 10\n"
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
 	slow := make(chan string, 50)
 	for i := 0; i < 50; i++ {
-		go func() { slow <- halfBody(b.callers("a1")) }()
+		go func() { slow <- sendHalfBody(b.callerAddr("a1")) }()
 	}
 	for i := 0; i < 10; i++ {
-		a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "p", 5, false)
+		a := callerWithTier("mid").Chat(testContext(t), b.callerAddr("a1"), "notes", "p", 5, false)
 		require.True(t, a.OK(), "%+v", a)
 	}
 	for i := 0; i < 50; i++ {
@@ -189,55 +189,55 @@
 	}
 }
 
-// halfBody sends half a body, then waits for what the host says.
-func halfBody(addr string) string {
+// sendHalfBody sends half a body, then waits for what the host says.
+func sendHalfBody(addr string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err.Error()
 	}
 	defer conn.Close()
-	fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{", school)
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{", workspaceKey)
+	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	data, _ := io.ReadAll(conn)
 	return string(data)
 }
 
 // A caller goes away while its request waits or runs. Its slot must go to others soon.
 func TestCallerWhoLeavesGivesItsSlotBack(t *testing.T) {
-	b := newBed(t, "a1")
+	b := newTestbed(t, "a1")
 	o := fastEngine()
 	o.Batch = 1
 	b.addEngine("e1", "zone-a", o)
 	b.start()
 	for i := 0; i < 3; i++ {
 		c, cancel := context.WithCancel(context.Background())
-		go tiered("mid").Chat(c, b.callers("a1"), "notes", fmt.Sprint("leaves ", i), 4000, true)
-		require.True(t, fleet.WaitUntil(patience, func() bool { return len(b.engineRuns()) == 2*i+1 }))
+		go callerWithTier("mid").Chat(c, b.callerAddr("a1"), "notes", fmt.Sprint("leaves ", i), 4000, true)
+		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 2*i+1 }))
 		cancel()
-		a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "stays", 5, false)
+		a := callerWithTier("mid").Chat(testContext(t), b.callerAddr("a1"), "notes", "stays", 5, false)
 		require.True(t, a.OK(), "%+v", a)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
 // A workspace is over its published rate. It is refused at once with a time to come back, and the
 // other workspaces do not notice.
 func TestWorkspaceOverItsRate(t *testing.T) {
-	b := newBed(t, "a1")
-	b.addPlain("git-1", "zone-a", time.Millisecond)
+	b := newTestbed(t, "a1")
+	b.addPlainService("git-1", "zone-a", time.Millisecond)
 	r := fleet.Workspace("greedy", "greedy-key", []string{"top"}, 1)
 	r.Body = bytes.Replace(r.Body, []byte(`"weight":1`), []byte(`"weight":1,"limits":{"requests_per_second":0.5,"burst":3}`), 1)
 	b.platform.PublishRaw(r)
 	b.start()
 	refused := 0
 	for i := 0; i < 10; i++ {
-		a := fleet.NewCaller("greedy-key").WithHeader("Fireflyshift-Tier", "top").Call(ctx(t), "GET", b.callers("a1"), "git", "x", nil)
+		a := fleet.NewCaller("greedy-key").WithHeader("Fireflyshift-Tier", "top").Call(testContext(t), "GET", b.callerAddr("a1"), "git", "x", nil)
 		if a.ErrorKind == "rate_limited" {
 			refused++
 			require.Equal(t, http.StatusTooManyRequests, a.Status)
 			require.NotEmpty(t, a.RetryAfter)
 		}
-		require.True(t, tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "x", nil).OK())
+		require.True(t, callerWithTier("top").Call(testContext(t), "GET", b.callerAddr("a1"), "git", "x", nil).OK())
 	}
 	require.GreaterOrEqual(t, refused, 6)
 }
