--- a/test/bed_test.go
+++ b/test/bed_test.go
@@ -282,20 +282,18 @@
 
 func (b *testbed) newCaller() *fleet.Caller { return fleet.NewCaller(workspaceKey) }
 
-func callerWithTier(tier string) *fleet.Caller {
+func tierCaller(tier string) *fleet.Caller {
 	return fleet.NewCaller(workspaceKey).WithHeader("Fireflyshift-Tier", tier)
 }
 
-func testContext(t *testing.T) context.Context {
+func testCtx(t *testing.T) context.Context {
 	c, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	t.Cleanup(cancel)
 	return c
 }
 
-// expectedAnswer is the whole answer of any stand-in engine to a prompt.
-func expectedAnswer(prompt string, tokens int) string {
-	return engine.Answer("user\n"+prompt+"\n", tokens)
-}
+// fullAnswer is the whole answer of any stand-in engine to a prompt.
+func fullAnswer(prompt string, tokens int) string { return engine.Answer("user\n"+prompt+"\n", tokens) }
 
 func (b *testbed) runsByRequest() map[string]int {
 	out := map[string]int{}
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -31,7 +31,7 @@
 	pausedHost := b.otherHost("zone-a", b.schedulerOf("notes", "zone-a"))
 	runningHost := b.otherHost("zone-a", pausedHost)
 	l := startLoad(12, func(worker, i int) fleet.Response {
-		return callerWithTier("mid").Chat(testContext(t), b.callerAddr([]string{runningHost, pausedHost}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
+		return tierCaller("mid").Chat(testCtx(t), b.callerAddr([]string{runningHost, pausedHost}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 	})
 	ranMore := func(engine string) func() bool {
 		before := b.runCount(engine)
@@ -124,11 +124,11 @@
 	lb := newLoadBalancer(b)
 	l := startLoad(8, func(worker, i int) fleet.Response {
 		if worker%2 == 0 {
-			return callerWithTier("top").Call(testContext(t), "GET", lb.pick(), "git", fmt.Sprint(i), nil)
+			return tierCaller("top").Call(testCtx(t), "GET", lb.pick(), "git", fmt.Sprint(i), nil)
 		}
 		prompt := fmt.Sprint("p", worker, "-", i)
-		a := callerWithTier("mid").Chat(testContext(t), lb.pick(), "notes", prompt, 60, true)
-		if a.OK() && a.Text != expectedAnswer(prompt, 60) {
+		a := tierCaller("mid").Chat(testCtx(t), lb.pick(), "notes", prompt, 60, true)
+		if a.OK() && a.Text != fullAnswer(prompt, 60) {
 			a.Err = fmt.Errorf("torn text")
 		}
 		return a
@@ -155,21 +155,19 @@
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
 	done := make(chan fleet.Response, 1)
-	go func() {
-		done <- callerWithTier("mid").Chat(testContext(t), b.callerAddr("a1"), "notes", "long", 1000, true)
-	}()
+	go func() { done <- tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "long", 1000, true) }()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	var late fleet.Response
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool {
-		late = callerWithTier("mid").Chat(testContext(t), b.callerAddr("a1"), "notes", "late", 1, false)
+		late = tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "late", 1, false)
 		return late.ErrorKind == "draining"
 	}))
 	require.Equal(t, "not run", late.Work)
 	require.NotEmpty(t, late.RetryAfter)
 	a := <-done
 	require.True(t, a.OK(), "%+v", a)
-	require.Equal(t, expectedAnswer("long", 1000), a.Text)
+	require.Equal(t, fullAnswer("long", 1000), a.Text)
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 }
 
@@ -185,7 +183,7 @@
 		b.start()
 		done := make(chan fleet.Response, 1)
 		go func() {
-			done <- callerWithTier("mid").WithHeader("Fireflyshift-Deadline-Ms", "600000").Chat(testContext(t), b.callerAddr("a1"), "notes", "stuck", 5000, true)
+			done <- tierCaller("mid").WithHeader("Fireflyshift-Deadline-Ms", "600000").Chat(testCtx(t), b.callerAddr("a1"), "notes", "stuck", 5000, true)
 		}()
 		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 1 }))
 		b.hosts["a1"].Signal(syscall.SIGTERM)
--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -55,12 +55,12 @@
 
 // dial connects to a host's process, if there is one.
 func (h *soakHost) dial() *soakConn {
-	process := h.current.Load()
+	process := h.proc.Load()
 	conn, err := net.DialTimeout("tcp", h.ip+":18221", time.Second)
 	if err != nil {
 		return nil
 	}
-	if h.current.Load() != process { // it is not known which process took it
+	if h.proc.Load() != process { // it is not known which process took it
 		_ = conn.Close()
 		return nil
 	}
@@ -386,7 +386,7 @@
 			case 1:
 				s.publishConfig()
 			case 2:
-				if h.uptime() > time.Second && h.current.Load().stopped.Load() > 0 {
+				if h.uptime() > time.Second && h.proc.Load().stopped.Load() > 0 {
 					h.signal(syscall.SIGTERM) // once more
 				}
 			default:
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -88,7 +88,7 @@
 	ip, dir string
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	current atomic.Pointer[soakProcess]
+	proc    atomic.Pointer[soakProcess]
 	// outOfBalancer tells that the balancer sends no new connections.
 	outOfBalancer atomic.Bool
 	log           *os.File
@@ -224,30 +224,28 @@
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is killed leaves none behind
 	require.NoError(s.t, cmd.Start())
 	h.cmd = cmd
-	h.current.Store(&soakProcess{host: h, osProcess: cmd.Process, started: time.Now().UnixMilli(), stopping: make(chan struct{})})
+	h.proc.Store(&soakProcess{host: h, osProcess: cmd.Process, started: time.Now().UnixMilli(), stopping: make(chan struct{})})
 }
 
-func (h *soakHost) uptime() time.Duration {
-	return time.Since(time.UnixMilli(h.current.Load().started))
-}
+func (h *soakHost) uptime() time.Duration { return time.Since(time.UnixMilli(h.proc.Load().started)) }
 
 // wait waits for a process and tells how it ended.
 func (h *soakHost) wait() error {
 	err := h.cmd.Wait()
-	h.current.Load().ended.Store(time.Now().UnixMilli())
+	h.proc.Load().ended.Store(time.Now().UnixMilli())
 	h.cmd = nil
 	return err
 }
 
 // kill ends a process without its doing.
 func (h *soakHost) kill() {
-	h.current.Load().killed.Store(time.Now().UnixMilli())
+	h.proc.Load().killed.Store(time.Now().UnixMilli())
 	h.signal(syscall.SIGKILL)
 }
 
 // signal takes no lock: a paused process must be woken while another goroutine waits for its end.
 func (h *soakHost) signal(sig syscall.Signal) {
-	_ = h.current.Load().osProcess.Signal(sig)
+	_ = h.proc.Load().osProcess.Signal(sig)
 }
 
 func (s *soak) close() {
@@ -347,7 +345,7 @@
 
 // stopHost ends a process by SIGKILL, or by SIGTERM and within its grace.
 func (s *soak) stopHost(h *soakHost, sig syscall.Signal) {
-	process := h.current.Load()
+	process := h.proc.Load()
 	process.stopped.Store(time.Now().UnixMilli())
 	close(process.stopping)
 	if sig == syscall.SIGKILL {
@@ -371,7 +369,7 @@
 const afterPause = time.Second
 
 func (s *soak) pauseHost(h *soakHost, d time.Duration) {
-	process := h.current.Load()
+	process := h.proc.Load()
 	process.pausedUntil.Store(max(process.pausedUntil.Load(), time.Now().Add(d+afterPause).UnixMilli()))
 	h.signal(syscall.SIGSTOP)
 	time.AfterFunc(d, func() { h.signal(syscall.SIGCONT) })
@@ -579,7 +577,7 @@
 				return false
 			}
 			defer conn.Close()
-			c := newSoakConn(conn, h.current.Load())
+			c := newSoakConn(conn, h.proc.Load())
 			id := fmt.Sprintf("check-%d", s.attempts.Add(1))
 			s.recordCall(id, soakCall{kind: "check"})
 			r := c.send(fmt.Sprintf("v%d", s.version), id, requestPause{})
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -241,7 +241,7 @@
 		done := make(chan fleet.Response, 1)
 		answers[name] = done
 		c := b.newCaller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-		go func() { done <- call(c, testContext(t)) }()
+		go func() { done <- call(c, testCtx(t)) }()
 	}
 	chat := func(prompt string, stream bool) func(*fleet.Caller, context.Context) fleet.Response {
 		return func(c *fleet.Caller, ctx context.Context) fleet.Response {
@@ -282,14 +282,14 @@
 	s := b.addPlainService("git-1", "zone-a", time.Minute)
 	b.platform.PublishRaw(fleet.Backend("git-1", "git", "zone-a", b.backendProxies["git-1"].Listen, 1, "active"))
 	b.start()
-	longCaller := callerWithTier("top").WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-	go longCaller.Call(testContext(t), "GET", b.callerAddr("a1"), "git", "stock", nil) // takes the only place
+	longCaller := tierCaller("top").WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
+	go longCaller.Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "stock", nil) // takes the only place
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
-	ticket := b.newCaller().Ticket(testContext(t), b.callerAddr("a1"))
+	ticket := b.newCaller().Ticket(testCtx(t), b.callerAddr("a1"))
 	first := make(chan fleet.Response, 1)
 	go func() {
 		first <- longCaller.WithHeader("Fireflyshift-Idempotent", "no").WithHeader("Fireflyshift-Ticket", ticket).
-			Call(testContext(t), "POST", b.callerAddr("a2"), "git", "grade-thread", []byte("well done"))
+			Call(testCtx(t), "POST", b.callerAddr("a2"), "git", "grade-thread", []byte("well done"))
 	}()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Tickets == 1 && b.status("a2").Requests == 1 }))
 	b.hosts["a2"].Signal(syscall.SIGTERM)
@@ -311,7 +311,7 @@
 	chat := func(prompt string, tokens int) chan fleet.Response {
 		done := make(chan fleet.Response, 1)
 		c := b.newCaller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-		go func() { done <- c.Chat(testContext(t), b.callerAddr("a1"), "notes", prompt, tokens, false) }()
+		go func() { done <- c.Chat(testCtx(t), b.callerAddr("a1"), "notes", prompt, tokens, false) }()
 		return done
 	}
 	first := chat("first", 500)
@@ -331,9 +331,7 @@
 	b := newSingleHostBed(t, time.Second)
 	s := b.plainServices["git-1"]
 	done := make(chan fleet.Response, 1)
-	go func() {
-		done <- callerWithTier("top").Call(testContext(t), "GET", b.callerAddr("a1"), "git", "stock", nil)
-	}()
+	go func() { done <- tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "stock", nil) }()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGHUP)
 	a := <-done
@@ -346,11 +344,11 @@
 	b := newTestbed(t, "a1", "a2")
 	s := b.addPlainService("git-1", "zone-a", 2*time.Second)
 	b.start()
-	go callerWithTier("top").Call(testContext(t), "GET", b.callerAddr("a1"), "git", "stock", nil) // keeps the host draining
+	go tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "stock", nil) // keeps the host draining
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Draining }))
-	ticket := b.newCaller().Ticket(testContext(t), b.callerAddr("a1"))
+	ticket := b.newCaller().Ticket(testCtx(t), b.callerAddr("a1"))
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 	if ticket != "" { // a refusal sends the caller to another host
 		a := postWithTicket(t, b.callerAddr("a2"), ticket, "note")
--- a/test/surface_test.go
+++ b/test/surface_test.go
@@ -67,7 +67,7 @@
 			for k, v := range c.headers {
 				caller = caller.WithHeader(k, v)
 			}
-			a := caller.Do(testContext(t), "POST", "http://"+host+c.path, []byte(c.body))
+			a := caller.Do(testCtx(t), "POST", "http://"+host+c.path, []byte(c.body))
 			require.Equal(t, c.status, a.Status, "%+v", a)
 			require.Equal(t, c.kind, a.ErrorKind)
 			require.Contains(t, a.Text, "; ", "the message names the remedy")
@@ -75,7 +75,7 @@
 				require.Equal(t, "not run", a.Work)
 			}
 			if c.kind == "ticket_required" {
-				retry := caller.WithHeader("Fireflyshift-Ticket", a.Ticket).Do(testContext(t), "POST", "http://"+host+c.path, nil)
+				retry := caller.WithHeader("Fireflyshift-Ticket", a.Ticket).Do(testCtx(t), "POST", "http://"+host+c.path, nil)
 				require.True(t, retry.OK(), "%+v", retry)
 				before++
 			}
@@ -102,7 +102,7 @@
 	b := newTestbed(t, "a1", "a2")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	a := callerWithTier("mid").Chat(testContext(t), b.callerAddr("a1"), "notes", "p", 5, true)
+	a := tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "p", 5, true)
 	require.True(t, a.OK())
 	out, code := runCtl("explain", a.RequestID, "--host", b.hostSpecs["a2"].Admin, "--host", b.hostSpecs["a1"].Admin)
 	require.Zero(t, code, out)
@@ -169,8 +169,8 @@
 	scheduler := b.schedulerOf("notes", "zone-a")
 	entry := b.otherHost("zone-a", scheduler)
 	trace := "4bf92f3577b34da6a3ce929d0e0e4736"
-	c := callerWithTier("mid").WithHeader("Traceparent", "00-"+trace+"-00f067aa0ba902b7-01")
-	require.True(t, c.Chat(testContext(t), b.callerAddr(entry), "notes", "p", 5, true).OK())
+	c := tierCaller("mid").WithHeader("Traceparent", "00-"+trace+"-00f067aa0ba902b7-01")
+	require.True(t, c.Chat(testCtx(t), b.callerAddr(entry), "notes", "p", 5, true).OK())
 	for _, id := range b.hostIDs {
 		b.hosts[id].Signal(15)
 		require.NoError(t, b.hosts[id].Wait(waitTimeout))
@@ -211,7 +211,7 @@
 	for _, p := range b.status("a1").Peers {
 		require.Equal(t, p.Host == "a2", p.Alive, "%+v", p)
 	}
-	require.True(t, callerWithTier("top").Call(testContext(t), "GET", b.callerAddr("a2"), "git", "x", nil).OK())
+	require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a2"), "git", "x", nil).OK())
 }
 
 // testCA signs test certificates.
