--- a/test/bed_test.go
+++ b/test/bed_test.go
@@ -278,7 +278,7 @@
 	}
 }
 
-func (b *testbed) callerAddr(id string) string { return b.hostSpecs[id].Callers }
+func (b *testbed) addr(id string) string { return b.hostSpecs[id].Callers }
 
 func (b *testbed) newCaller() *fleet.Caller { return fleet.NewCaller(workspaceKey) }
 
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -25,7 +25,7 @@
 
 // tierOutcome tells which deadline-free word a host gives on a tier: served or unknown_tier.
 func (b *testbed) tierOutcome(id, tier string) string {
-	a := fleet.NewCaller(workspaceKey).WithHeader("Fireflyshift-Tier", tier).Call(testCtx(b.t), "GET", b.callerAddr(id), "git", "x", nil)
+	a := fleet.NewCaller(workspaceKey).WithHeader("Fireflyshift-Tier", tier).Call(testCtx(b.t), "GET", b.addr(id), "git", "x", nil)
 	if a.OK() {
 		return "served"
 	}
@@ -115,11 +115,11 @@
 		require.Contains(t, reasons[0]+reasons[1], fmt.Sprint("workspace/school ", bad))
 	}
 	cafe := fleet.NewCaller("cafe-key").WithHeader("Fireflyshift-Tier", "top")
-	require.True(t, cafe.Call(testCtx(t), "GET", b.callerAddr("b1"), "git", "x", nil).OK(), "a record in the new side's schema")
+	require.True(t, cafe.Call(testCtx(t), "GET", b.addr("b1"), "git", "x", nil).OK(), "a record in the new side's schema")
 	b.awaitRevision(b.platform.Delete(record.KindWorkspace, "cafe"), b.hostIDs...)
-	require.Equal(t, "unknown_key", cafe.Call(testCtx(t), "GET", b.callerAddr("b1"), "git", "x", nil).ErrorKind)
+	require.Equal(t, "unknown_key", cafe.Call(testCtx(t), "GET", b.addr("b1"), "git", "x", nil).ErrorKind)
 	b.awaitRevision(b.platform.PublishRaw(fleet.WorkspaceV2("cafe", "cafe-key", []string{"top"}, 50)), b.hostIDs...)
-	require.True(t, cafe.Call(testCtx(t), "GET", b.callerAddr("b1"), "git", "x", nil).OK())
+	require.True(t, cafe.Call(testCtx(t), "GET", b.addr("b1"), "git", "x", nil).OK())
 	out, code := runCtl("watch", "--revision", "1", "--host", b.hostSpecs["a1"].Admin, "--host", b.hostSpecs["b1"].Admin)
 	require.Zero(t, code, out)
 	out, code = runCtl("status", "--host", b.hostSpecs["a1"].Admin)
@@ -153,13 +153,11 @@
 	b.addEngine("eb", "zone-b", fastEngine())
 	b.addPlainService("git-a", "zone-a", time.Millisecond)
 	b.start()
-	callFar := func() fleet.Response {
-		return tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("b1"), "git", "x", nil)
-	}
+	callFar := func() fleet.Response { return tierCaller("top").Call(testCtx(t), "GET", b.addr("b1"), "git", "x", nil) }
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return callFar().OK() }), "zone-b reaches the server of zone-a")
 	heal := b.partitionZones("zone-a", "zone-b")
 	l := startLoad(8, func(worker, i int) fleet.Response {
-		return tierCaller("mid").Chat(testCtx(t), b.callerAddr(b.hostIDs[worker%4]), "notes", fmt.Sprint(worker, "-", i), 10, true)
+		return tierCaller("mid").Chat(testCtx(t), b.addr(b.hostIDs[worker%4]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 	})
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return callFar().ErrorKind == "no_backend" }))
 	require.Equal(t, "not run", callFar().Work)
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -38,7 +38,7 @@
 	}
 	b.start()
 	call := func(i int, prompt string) fleet.Response {
-		return b.newCaller().Chat(testCtx(t), b.callerAddr(b.hostIDs[i%len(b.hostIDs)]), "notes", prompt, 30, true)
+		return b.newCaller().Chat(testCtx(t), b.addr(b.hostIDs[i%len(b.hostIDs)]), "notes", prompt, 30, true)
 	}
 	for i := 0; b.crashes() < crashesAllowed; i++ {
 		require.Less(t, i, 20)
--- a/test/dispatch_test.go
+++ b/test/dispatch_test.go
@@ -26,13 +26,13 @@
 	b := newTestbed(t, "a1", "a2")
 	s := b.addPlainService("git-1", "zone-a", 500*time.Millisecond)
 	b.start()
-	ticket := b.newCaller().Ticket(testCtx(t), b.callerAddr("a1"))
+	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
 	first := make(chan fleet.Response, 1)
-	go func() { first <- postWithTicket(t, b.callerAddr("a1"), ticket, "note") }()
+	go func() { first <- postWithTicket(t, b.addr("a1"), ticket, "note") }()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return s.RunsByKey()["note"] == 1 }))
 	b.hosts["a1"].Kill()
 	require.False(t, (<-first).OK())
-	retry := postWithTicket(t, b.callerAddr("a2"), ticket, "note")
+	retry := postWithTicket(t, b.addr("a2"), ticket, "note")
 	require.Equal(t, "ticket_home_gone", retry.ErrorKind)
 	require.Equal(t, "may have run", retry.Work)
 	require.Equal(t, 1, s.RunsByKey()["note"])
@@ -44,11 +44,11 @@
 	b := newTestbed(t, "a1", "a2", "a3")
 	s := b.addPlainService("git-1", "zone-a", 500*time.Millisecond)
 	b.start()
-	ticket := b.newCaller().Ticket(testCtx(t), b.callerAddr("a1"))
-	go postWithTicket(t, b.callerAddr("a2"), ticket, "note")
+	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
+	go postWithTicket(t, b.addr("a2"), ticket, "note")
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return s.RunsByKey()["note"] == 1 }))
 	b.hosts["a2"].Kill()
-	retry := postWithTicket(t, b.callerAddr("a3"), ticket, "note")
+	retry := postWithTicket(t, b.addr("a3"), ticket, "note")
 	require.Equal(t, "ticket_in_progress", retry.ErrorKind)
 	require.Equal(t, "may have run", retry.Work)
 	require.Equal(t, 1, s.RunsByKey()["note"])
@@ -60,15 +60,15 @@
 	b := newTestbed(t, "a1", "b1")
 	sa, sb := b.addPlainService("git-a", "zone-a", 5*time.Millisecond), b.addPlainService("git-b", "zone-b", 5*time.Millisecond)
 	b.start()
-	ticket := b.newCaller().Ticket(testCtx(t), b.callerAddr("a1"))
+	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
 	heal := b.partitionZones("zone-a", "zone-b")
-	crossZone := postWithTicket(t, b.callerAddr("b1"), ticket, "note")
+	crossZone := postWithTicket(t, b.addr("b1"), ticket, "note")
 	require.Equal(t, "ticket_home_gone", crossZone.ErrorKind)
-	homeZone := postWithTicket(t, b.callerAddr("a1"), ticket, "note")
+	homeZone := postWithTicket(t, b.addr("a1"), ticket, "note")
 	require.True(t, homeZone.OK(), "%+v", homeZone)
 	heal()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool {
-		return postWithTicket(t, b.callerAddr("b1"), ticket, "note").ErrorKind == "ticket_done"
+		return postWithTicket(t, b.addr("b1"), ticket, "note").ErrorKind == "ticket_done"
 	}), "after the heal the home says that the work ran")
 	require.Equal(t, 1, sa.RunsByKey()["note"]+sb.RunsByKey()["note"])
 }
@@ -83,9 +83,9 @@
 	pausedHost := b.otherHost("zone-a", b.schedulerOf("git", "zone-a"))
 	l := startLoad(8, func(worker, i int) fleet.Response {
 		if worker%2 == 0 {
-			return tierCaller("top").Call(testCtx(t), "GET", b.callerAddr(pausedHost), "git", fmt.Sprint("stock/", i), nil)
+			return tierCaller("top").Call(testCtx(t), "GET", b.addr(pausedHost), "git", fmt.Sprint("stock/", i), nil)
 		}
-		return tierCaller("mid").Chat(testCtx(t), b.callerAddr(pausedHost), "notes", fmt.Sprint("p", worker, i), 10, true)
+		return tierCaller("mid").Chat(testCtx(t), b.addr(pausedHost), "notes", fmt.Sprint("p", worker, i), 10, true)
 	})
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > 40 }))
 	b.hosts[pausedHost].Signal(syscall.SIGSTOP)
@@ -110,7 +110,7 @@
 	oldScheduler := b.schedulerOf("notes", "zone-a")
 	entry := b.otherHost("zone-a", oldScheduler)
 	l := startLoad(6, func(worker, i int) fleet.Response {
-		return tierCaller("mid").Chat(testCtx(t), b.callerAddr(entry), "notes", fmt.Sprint("p", worker, i), 10, true)
+		return tierCaller("mid").Chat(testCtx(t), b.addr(entry), "notes", fmt.Sprint("p", worker, i), 10, true)
 	})
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > 20 }))
 	for round := 0; round < 2; round++ {
@@ -135,10 +135,10 @@
 	s := b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
 	for i := 0; i < 5; i++ { // so that connections are kept and used again
-		require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "price", nil).OK())
+		require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "price", nil).OK())
 	}
 	s.SetMode(plain.Mode{DieAfter: true})
-	a := tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "price", nil)
+	a := tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "price", nil)
 	require.Equal(t, "outcome_unknown", a.ErrorKind)
 	require.Equal(t, "may have run", a.Work)
 	b.requireNoneRanTwice()
@@ -153,13 +153,13 @@
 	b.start()
 	b.backendProxies["git-1"].Stop()
 	for i := 0; i < 10; i++ {
-		a := tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "stock", nil)
+		a := tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil)
 		require.True(t, a.OK(), "%+v", a)
 		require.Equal(t, "git-2", a.Backend)
 	}
 	b.backendProxies["git-2"].Stop()
 	call := func() fleet.Response {
-		return tierCaller("top").WithHeader("Fireflyshift-Deadline-Ms", "1500").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "stock", nil)
+		return tierCaller("top").WithHeader("Fireflyshift-Deadline-Ms", "1500").Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil)
 	}
 	a := call()
 	if a.ErrorKind == "outcome_unknown" {
@@ -183,7 +183,7 @@
 	e.SetMode(engine.Mode{CutEvery: 7})
 	for _, stream := range []bool{true, false} {
 		prompt := fmt.Sprint("long summary ", stream)
-		a := tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", prompt, 60, stream)
+		a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", prompt, 60, stream)
 		require.True(t, a.OK(), "%+v", a)
 		require.Equal(t, fullAnswer(prompt, 60), a.Text)
 	}
@@ -200,7 +200,7 @@
 	for i, mode := range []engine.Mode{{Truncate: true}, {WrongRequestID: true}, {SkipToken: true}, {EarlyDone: true}} {
 		e.SetMode(mode)
 		prompt := fmt.Sprint("prompt ", i)
-		a := tierCaller("mid").WithHeader("Fireflyshift-Deadline-Ms", "8000").Chat(testCtx(t), b.callerAddr("a1"), "notes", prompt, 30, true)
+		a := tierCaller("mid").WithHeader("Fireflyshift-Deadline-Ms", "8000").Chat(testCtx(t), b.addr("a1"), "notes", prompt, 30, true)
 		require.True(t, a.OK(), "%+v", a)
 		require.Equal(t, fullAnswer(prompt, 30), a.Text)
 	}
@@ -215,7 +215,7 @@
 	b.start()
 	for _, mode := range []plain.Mode{{Truncate: true}, {CutBody: true}} {
 		s.SetMode(mode)
-		a := tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "prices", nil)
+		a := tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "prices", nil)
 		require.False(t, a.OK(), "%+v", a)
 	}
 	b.requireNoneRanTwice()
@@ -228,7 +228,7 @@
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
 	done := make(chan fleet.Response, 1)
-	go func() { done <- tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "p", 2000, true) }()
+	go func() { done <- tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "p", 2000, true) }()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 1 }))
 	b.backendProxies["e1"].Stop()
 	a := <-done
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -31,7 +31,7 @@
 	pausedHost := b.otherHost("zone-a", b.schedulerOf("notes", "zone-a"))
 	runningHost := b.otherHost("zone-a", pausedHost)
 	l := startLoad(12, func(worker, i int) fleet.Response {
-		return tierCaller("mid").Chat(testCtx(t), b.callerAddr([]string{runningHost, pausedHost}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
+		return tierCaller("mid").Chat(testCtx(t), b.addr([]string{runningHost, pausedHost}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 	})
 	ranMore := func(engine string) func() bool {
 		before := b.runCount(engine)
@@ -82,7 +82,7 @@
 		var ready []string
 		for _, id := range b.hostIDs {
 			if code, _, err := fleet.Get("http://" + b.hostSpecs[id].Admin + "/readyz"); err == nil && code == 200 {
-				ready = append(ready, b.callerAddr(id))
+				ready = append(ready, b.addr(id))
 			}
 		}
 		l.mu.Lock()
@@ -155,12 +155,12 @@
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
 	done := make(chan fleet.Response, 1)
-	go func() { done <- tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "long", 1000, true) }()
+	go func() { done <- tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "long", 1000, true) }()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	var late fleet.Response
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool {
-		late = tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "late", 1, false)
+		late = tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "late", 1, false)
 		return late.ErrorKind == "draining"
 	}))
 	require.Equal(t, "not run", late.Work)
@@ -183,7 +183,7 @@
 		b.start()
 		done := make(chan fleet.Response, 1)
 		go func() {
-			done <- tierCaller("mid").WithHeader("Fireflyshift-Deadline-Ms", "600000").Chat(testCtx(t), b.callerAddr("a1"), "notes", "stuck", 5000, true)
+			done <- tierCaller("mid").WithHeader("Fireflyshift-Deadline-Ms", "600000").Chat(testCtx(t), b.addr("a1"), "notes", "stuck", 5000, true)
 		}()
 		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 1 }))
 		b.hosts["a1"].Signal(syscall.SIGTERM)
--- a/test/notice_test.go
+++ b/test/notice_test.go
@@ -18,7 +18,7 @@
 // back.
 func TestStopWaitsForAHeadThatIsStillRead(t *testing.T) {
 	b := newSingleHostBed(t, time.Millisecond)
-	c := connect(t, b.callerAddr("a1"))
+	c := connect(t, b.addr("a1"))
 	_, err := c.Write([]byte(stockRequest[:headBytesSent]))
 	require.NoError(t, err)
 	time.Sleep(50 * time.Millisecond) // the host has read them
@@ -33,7 +33,7 @@
 // Guards against an idle connection that ends without the word that a request which has just been sent on it has not run.
 func TestStopTellsIdleConnectionsThatNothingRan(t *testing.T) {
 	b := newSingleHostBed(t, time.Millisecond)
-	c := connectReused(t, b.callerAddr("a1"))
+	c := connectReused(t, b.addr("a1"))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	r := c.read()
 	require.NoError(t, r.err)
@@ -57,7 +57,7 @@
 	t.Cleanup(stop)
 	b.platform.PublishRaw(fleet.Backend("git-1", "git", "zone-a", addr, 4, "active"))
 	b.start()
-	c := connect(t, b.callerAddr("a1"))
+	c := connect(t, b.addr("a1"))
 	_, err := c.Write([]byte(strings.Replace(stockRequest, "Content-Length", "Fireflyshift-Deadline-Ms: "+longDeadline+"\r\nContent-Length", 1)))
 	require.NoError(t, err)
 	<-begun
@@ -72,7 +72,7 @@
 	b := newTestbed(t, "a1")
 	b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
-	c := connect(t, b.callerAddr("a1"))
+	c := connect(t, b.addr("a1"))
 	_, err := c.Write([]byte("POST /services/git/x HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer wrong\r\nContent-Length: 1000\r\n\r\nhalf"))
 	require.NoError(t, err)
 	b.hosts["a1"].Signal(syscall.SIGTERM)
@@ -96,7 +96,7 @@
 			case <-time.After(125 * time.Millisecond):
 			}
 			go func() {
-				c, err := net.Dial("tcp", b.callerAddr("a1"))
+				c, err := net.Dial("tcp", b.addr("a1"))
 				if err != nil {
 					return
 				}
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -42,7 +42,7 @@
 			}
 			runningHost := b.otherHost("zone-a", pausedHost)
 			l := startLoad(60, func(worker, i int) fleet.Response {
-				return tierCaller("mid").Chat(testCtx(t), b.callerAddr([]string{runningHost, pausedHost}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
+				return tierCaller("mid").Chat(testCtx(t), b.addr([]string{runningHost, pausedHost}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 			})
 			rng := rand.New(rand.NewPCG(25, 1))
 			late := 0
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -119,7 +119,7 @@
 func requireAnswersAcrossStop(t *testing.T, b *testbed, open func(*testing.T, string) *rawConn, request string, first int, after ...time.Duration) {
 	var callers []*rawConn
 	for range after {
-		c := open(t, b.callerAddr("a1"))
+		c := open(t, b.addr("a1"))
 		_, err := c.Write([]byte(request[:first]))
 		require.NoError(t, err)
 		callers = append(callers, c)
@@ -181,7 +181,7 @@
 		replies := make(chan reply)
 		var wg sync.WaitGroup
 		for range callers {
-			c := connectReused(t, b.callerAddr("a1"))
+			c := connectReused(t, b.addr("a1"))
 			wg.Add(1)
 			go func() { defer wg.Done(); c.callUntilClosed(replies) }()
 		}
@@ -245,11 +245,11 @@
 	}
 	chat := func(prompt string, stream bool) func(*fleet.Caller, context.Context) fleet.Response {
 		return func(c *fleet.Caller, ctx context.Context) fleet.Response {
-			return c.Chat(ctx, b.callerAddr("a1"), "notes", prompt, 5, stream)
+			return c.Chat(ctx, b.addr("a1"), "notes", prompt, 5, stream)
 		}
 	}
 	start("plain", func(c *fleet.Caller, ctx context.Context) fleet.Response {
-		return c.Call(ctx, "GET", b.callerAddr("a1"), "git", "stock", nil)
+		return c.Call(ctx, "GET", b.addr("a1"), "git", "stock", nil)
 	})
 	start("chat", chat("one", false))
 	start("stream", chat("two", true))
@@ -283,20 +283,20 @@
 	b.platform.PublishRaw(fleet.Backend("git-1", "git", "zone-a", b.backendProxies["git-1"].Listen, 1, "active"))
 	b.start()
 	longCaller := tierCaller("top").WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-	go longCaller.Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "stock", nil) // takes the only place
+	go longCaller.Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil) // takes the only place
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
-	ticket := b.newCaller().Ticket(testCtx(t), b.callerAddr("a1"))
+	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
 	first := make(chan fleet.Response, 1)
 	go func() {
 		first <- longCaller.WithHeader("Fireflyshift-Idempotent", "no").WithHeader("Fireflyshift-Ticket", ticket).
-			Call(testCtx(t), "POST", b.callerAddr("a2"), "git", "grade-thread", []byte("well done"))
+			Call(testCtx(t), "POST", b.addr("a2"), "git", "grade-thread", []byte("well done"))
 	}()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Tickets == 1 && b.status("a2").Requests == 1 }))
 	b.hosts["a2"].Signal(syscall.SIGTERM)
 	assert.Equal(t, notRun, (<-first).Work)
 	require.NoError(t, b.hosts["a2"].Wait(waitTimeout))
 	b.addPlainService("git-2", "zone-a", time.Millisecond)
-	retry := postWithTicket(t, b.callerAddr("a1"), ticket, "note")
+	retry := postWithTicket(t, b.addr("a1"), ticket, "note")
 	require.True(t, retry.OK(), "%+v", retry)
 	b.requireNoneRanTwice()
 }
@@ -311,7 +311,7 @@
 	chat := func(prompt string, tokens int) chan fleet.Response {
 		done := make(chan fleet.Response, 1)
 		c := b.newCaller().WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-		go func() { done <- c.Chat(testCtx(t), b.callerAddr("a1"), "notes", prompt, tokens, false) }()
+		go func() { done <- c.Chat(testCtx(t), b.addr("a1"), "notes", prompt, tokens, false) }()
 		return done
 	}
 	first := chat("first", 500)
@@ -331,7 +331,7 @@
 	b := newSingleHostBed(t, time.Second)
 	s := b.plainServices["git-1"]
 	done := make(chan fleet.Response, 1)
-	go func() { done <- tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "stock", nil) }()
+	go func() { done <- tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil) }()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGHUP)
 	a := <-done
@@ -344,14 +344,14 @@
 	b := newTestbed(t, "a1", "a2")
 	s := b.addPlainService("git-1", "zone-a", 2*time.Second)
 	b.start()
-	go tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "stock", nil) // keeps the host draining
+	go tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil) // keeps the host draining
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Draining }))
-	ticket := b.newCaller().Ticket(testCtx(t), b.callerAddr("a1"))
+	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 	if ticket != "" { // a refusal sends the caller to another host
-		a := postWithTicket(t, b.callerAddr("a2"), ticket, "note")
+		a := postWithTicket(t, b.addr("a2"), ticket, "note")
 		require.True(t, a.OK(), "%+v", a)
 	}
 }
--- a/test/surface_test.go
+++ b/test/surface_test.go
@@ -31,7 +31,7 @@
 	s := b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.platform.PublishRaw(fleet.Workspace("small", "small-key", []string{"low"}, 1))
 	b.start()
-	host := b.callerAddr("a1")
+	host := b.addr("a1")
 	good := `{"model":"notes","messages":[{"role":"user","content":"x"}],"max_tokens":1}`
 	chat, git := "/v1/chat/completions", "/services/git/x"
 	cases := []struct {
@@ -102,7 +102,7 @@
 	b := newTestbed(t, "a1", "a2")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	a := tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "p", 5, true)
+	a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "p", 5, true)
 	require.True(t, a.OK())
 	out, code := runCtl("explain", a.RequestID, "--host", b.hostSpecs["a2"].Admin, "--host", b.hostSpecs["a1"].Admin)
 	require.Zero(t, code, out)
@@ -170,7 +170,7 @@
 	entry := b.otherHost("zone-a", scheduler)
 	trace := "4bf92f3577b34da6a3ce929d0e0e4736"
 	c := tierCaller("mid").WithHeader("Traceparent", "00-"+trace+"-00f067aa0ba902b7-01")
-	require.True(t, c.Chat(testCtx(t), b.callerAddr(entry), "notes", "p", 5, true).OK())
+	require.True(t, c.Chat(testCtx(t), b.addr(entry), "notes", "p", 5, true).OK())
 	for _, id := range b.hostIDs {
 		b.hosts[id].Signal(15)
 		require.NoError(t, b.hosts[id].Wait(waitTimeout))
@@ -211,7 +211,7 @@
 	for _, p := range b.status("a1").Peers {
 		require.Equal(t, p.Host == "a2", p.Alive, "%+v", p)
 	}
-	require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a2"), "git", "x", nil).OK())
+	require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.addr("a2"), "git", "x", nil).OK())
 }
 
 // testCA signs test certificates.
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -31,7 +31,7 @@
 	for i := 0; i < 4; i++ {
 		go func() {
 			prompt := fmt.Sprint("tag ", i)
-			a := tierCaller("low").Chat(testCtx(t), b.callerAddr([]string{"a1", "a2"}[i%2]), "notes", prompt, 1500, true)
+			a := tierCaller("low").Chat(testCtx(t), b.addr([]string{"a1", "a2"}[i%2]), "notes", prompt, 1500, true)
 			if a.OK() && a.Text != fullAnswer(prompt, 1500) {
 				a.Err = fmt.Errorf("torn text")
 			}
@@ -40,7 +40,7 @@
 	}
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 4 }))
 	time.Sleep(100 * time.Millisecond)
-	a := tierCaller("top").Chat(testCtx(t), b.callerAddr("a1"), "notes", "urgent", 10, true)
+	a := tierCaller("top").Chat(testCtx(t), b.addr("a1"), "notes", "urgent", 10, true)
 	require.True(t, a.OK(), "%+v", a)
 	require.Equal(t, fullAnswer("urgent", 10), a.Text)
 	suspended := 0
@@ -73,7 +73,7 @@
 		tier := tiers[min(2, i%10/4)] // 4 low, 4 mid, 2 top in ten
 		go func() {
 			c := tierCaller(tier).WithHeader("Fireflyshift-Deadline-Ms", "6000")
-			results <- result{tier, c.Chat(testCtx(t), b.callerAddr([]string{"a1", "a2"}[i%2]), "notes", fmt.Sprint("p", i), 20, true)}
+			results <- result{tier, c.Chat(testCtx(t), b.addr([]string{"a1", "a2"}[i%2]), "notes", fmt.Sprint("p", i), 20, true)}
 		}()
 	}
 	answered, refused := map[string]int{}, map[string]int{}
@@ -107,7 +107,7 @@
 	for i := 0; i < 60; i++ {
 		go func() {
 			prompt := fmt.Sprint("p", i)
-			a := tierCaller("mid").Chat(testCtx(t), b.callerAddr(entry), "notes", prompt, 100, true)
+			a := tierCaller("mid").Chat(testCtx(t), b.addr(entry), "notes", prompt, 100, true)
 			if a.OK() && a.Text != fullAnswer(prompt, 100) {
 				a.Err = fmt.Errorf("torn text")
 			}
@@ -138,7 +138,7 @@
 	c := tierCaller("mid").WithHeader("Fireflyshift-Deadline-Ms", "5000")
 	c.Client.Transport.(*http.Transport).MaxConnsPerHost = 500
 	for i := 0; i < callers; i++ {
-		go func() { results <- c.Chat(testCtx(t), b.callerAddr("a1"), "notes", fmt.Sprint("p", i), 5, false) }()
+		go func() { results <- c.Chat(testCtx(t), b.addr("a1"), "notes", fmt.Sprint("p", i), 5, false) }()
 	}
 	var all []fleet.Response
 	for i := 0; i < callers; i++ {
@@ -150,7 +150,7 @@
 	resident := residentKB(t, b.hosts["a1"].Pid())
 	t.Logf("resident: %d KB", resident)
 	require.Less(t, resident, 150_000)
-	a := tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "after", 5, false)
+	a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "after", 5, false)
 	require.True(t, a.OK(), "%+v", a)
 	b.requireNoneRanTwice()
 }
@@ -178,10 +178,10 @@
 	b.start()
 	slow := make(chan string, 50)
 	for i := 0; i < 50; i++ {
-		go func() { slow <- sendHalfBody(b.callerAddr("a1")) }()
+		go func() { slow <- sendHalfBody(b.addr("a1")) }()
 	}
 	for i := 0; i < 10; i++ {
-		a := tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "p", 5, false)
+		a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "p", 5, false)
 		require.True(t, a.OK(), "%+v", a)
 	}
 	for i := 0; i < 50; i++ {
@@ -211,10 +211,10 @@
 	b.start()
 	for i := 0; i < 3; i++ {
 		c, cancel := context.WithCancel(context.Background())
-		go tierCaller("mid").Chat(c, b.callerAddr("a1"), "notes", fmt.Sprint("leaves ", i), 4000, true)
+		go tierCaller("mid").Chat(c, b.addr("a1"), "notes", fmt.Sprint("leaves ", i), 4000, true)
 		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 2*i+1 }))
 		cancel()
-		a := tierCaller("mid").Chat(testCtx(t), b.callerAddr("a1"), "notes", "stays", 5, false)
+		a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "stays", 5, false)
 		require.True(t, a.OK(), "%+v", a)
 	}
 	b.requireNoneRanTwice()
@@ -231,13 +231,13 @@
 	b.start()
 	refused := 0
 	for i := 0; i < 10; i++ {
-		a := fleet.NewCaller("greedy-key").WithHeader("Fireflyshift-Tier", "top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "x", nil)
+		a := fleet.NewCaller("greedy-key").WithHeader("Fireflyshift-Tier", "top").Call(testCtx(t), "GET", b.addr("a1"), "git", "x", nil)
 		if a.ErrorKind == "rate_limited" {
 			refused++
 			require.Equal(t, http.StatusTooManyRequests, a.Status)
 			require.NotEmpty(t, a.RetryAfter)
 		}
-		require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.callerAddr("a1"), "git", "x", nil).OK())
+		require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "x", nil).OK())
 	}
 	require.GreaterOrEqual(t, refused, 6)
 }
