--- a/test/bed_test.go
+++ b/test/bed_test.go
@@ -1,5 +1,5 @@
-// Package test proves the promises with real processes behind a fault-injecting proxy. The platform
-// and the backend servers are stand-ins inside the test process; the hosts are daemons.
+// Package test runs integration tests against real daemon processes whose connections pass through a fault-injecting
+// proxy. The platform and the backend servers are fakes inside the test process.
 package test
 
 import (
@@ -27,12 +27,12 @@
 )
 
 const (
-	waitTimeout  = 20 * time.Second // far over what is expected: no verdict hangs on the clock
+	waitTimeout  = 20 * time.Second // far above the expected times, so that no result depends on the speed of the machine
 	workspaceKey = "school-key"
 )
 
-// raceBinDir is the folder of the programs under test, built with the race detector; the daemon built
-// without it is in noRaceBinDir: the detector's own memory would hide the daemon's.
+// raceBinDir holds the binaries built with the race detector. noRaceBinDir holds a daemon built without it, for tests that
+// measure memory: the detector's own memory would hide the daemon's.
 var raceBinDir, noRaceBinDir string
 
 func TestMain(m *testing.M) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// testbed is a small system on loopback. Every way between two hosts, from a host to the platform and
-// to a backend server goes through a proxy that can be cut.
+// testbed is a small cluster on loopback. Every connection between two hosts, from a host to the platform and from a host
+// to a backend server passes through a proxy that can be stopped.
 type testbed struct {
 	t               *testing.T
 	dir             string
@@ -94,7 +94,7 @@
 	return b
 }
 
-// addHost chooses the addresses of a host; its zone is the first letter of its id.
+// addHost allocates the addresses and proxies of a host. Its zone is named after the first letter of its ID.
 func (b *testbed) addHost(id string) {
 	spec := fleet.NewHostSpec(id, "zone-"+id[:1], "")
 	b.platformProxies[id] = b.startProxy("platform-"+id, b.platformAddr)
@@ -161,7 +161,7 @@
 	return s
 }
 
-// start runs the hosts and waits until all are ready and know each other.
+// start starts all hosts and waits until they are ready and have discovered their zone peers.
 func (b *testbed) start() *testbed {
 	for _, id := range b.hostIDs {
 		b.startHost(id)
@@ -205,7 +205,7 @@
 				}
 			}
 			return n == want
-		}), "host %s does not see its zone", id)
+		}), "host %s does not see all its zone peers as alive", id)
 	}
 }
 
@@ -218,7 +218,7 @@
 	return s
 }
 
-// schedulerOf finds the host that schedules a service's group in a zone.
+// schedulerOf waits until a host of the zone schedules the service's group, and returns its ID.
 func (b *testbed) schedulerOf(service, zone string) string {
 	found := ""
 	require.True(b.t, fleet.WaitUntil(waitTimeout, func() bool {
@@ -238,7 +238,7 @@
 	return found
 }
 
-// otherHost names a host of a zone that is not the one given.
+// otherHost returns the ID of a host in the zone other than excluded, and fails the test if there is none.
 func (b *testbed) otherHost(zone, excluded string) string {
 	for _, id := range b.hostIDs {
 		if b.hostSpecs[id].Zone == zone && id != excluded {
@@ -249,7 +249,7 @@
 	return ""
 }
 
-// partitionZones cuts all ways between two zones, in both directions; the returned function heals them.
+// partitionZones stops the proxies between two zones in both directions; heal restarts them.
 func (b *testbed) partitionZones(x, y string) (heal func()) {
 	var cut []*toxiproxy.Proxy
 	for pair, p := range b.peerProxies {
@@ -266,7 +266,7 @@
 	}
 }
 
-// close kills what still runs, and fails the test if any daemon has seen an invariant broken.
+// close kills the remaining processes and fails the test if the log of any daemon reports a violated invariant or a data race.
 func (b *testbed) close() {
 	for _, p := range b.hosts {
 		p.Kill()
@@ -292,7 +292,7 @@
 	return c
 }
 
-// fullAnswer is the whole answer of any stand-in engine to a prompt.
+// expectedAnswer is the complete answer that any fake engine gives to a prompt.
 func fullAnswer(prompt string, tokens int) string { return engine.Answer("user\n"+prompt+"\n", tokens) }
 
 func (b *testbed) runsByRequest() map[string]int {
@@ -305,7 +305,7 @@
 	return out
 }
 
-// requireNoneRanTwice asserts that no request ran twice on any engine or plain service.
+// requireNoneRanTwice asserts that no request ran more than once on any engine or plain service.
 func (b *testbed) requireNoneRanTwice() {
 	for id, n := range b.runsByRequest() {
 		require.Equal(b.t, 1, n, "request %s ran %d times", id, n)
@@ -317,7 +317,7 @@
 	}
 }
 
-// loadGenerator sends requests from several callers until stop is called, and gathers the answers.
+// loadGenerator sends requests from several workers until stop is called, and collects the answers.
 type loadGenerator struct {
 	wg      sync.WaitGroup
 	mu      sync.Mutex
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -12,18 +12,19 @@
 	"fireflyshift/internal/standin/platform"
 )
 
-// applyTimeout is the users' bound for the target; today's few hosts are far faster.
+// applyTimeout is the required upper bound for a configuration change to be active on all hosts of a full-size cluster; the
+// few hosts of these tests are far faster.
 const applyTimeout = 16 * time.Second
 
-// awaitRevision waits until a revision is in force on the named hosts.
+// awaitRevision waits until the revision, or a later one, is active on the given hosts.
 func (b *testbed) awaitRevision(revision uint64, hosts ...string) {
 	for _, id := range hosts {
 		require.True(b.t, fleet.WaitUntil(applyTimeout, func() bool { return b.status(id).Revision >= revision }),
-			"revision %d is not in force on %s", revision, id)
+			"revision %d is not active on %s", revision, id)
 	}
 }
 
-// tierOutcome tells which deadline-free word a host gives on a tier: served or unknown_tier.
+// tierOutcome calls a host on a tier and returns "served" or the kind of the refusal.
 func (b *testbed) tierOutcome(id, tier string) string {
 	a := fleet.NewCaller(workspaceKey).WithHeader("Fireflyshift-Tier", tier).Call(testCtx(b.t), "GET", b.addr(id), "git", "x", nil)
 	if a.OK() {
@@ -36,8 +37,8 @@
 	return b.platform.PublishRaw(fleet.Workspace("school", workspaceKey, tiers, 1))
 }
 
-// One zone is cut off from the platform when an operator changes a workspace's tiers. Its callers
-// would go on under the old rights; the other zone's hosts bring the news.
+// Guards against a zone that keeps serving under old permissions: one zone cannot reach the platform while an operator
+// changes a workspace's tiers, and has to receive the change from the hosts of the other zone.
 func TestChangeReachesAZoneThatIsCutFromThePlatform(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "b1", "b2")
 	b.addPlainService("git-1", "zone-a", time.Millisecond)
@@ -49,8 +50,8 @@
 	require.Equal(t, "tier_not_granted", b.tierOutcome("b1", "low"))
 }
 
-// The platform goes down, a host is replaced meanwhile, and comes up knowing nothing. It must serve
-// its zone all the same, with what its peers hold, and say that it is ready only then.
+// Guards against a host that cannot start without the platform: a host is replaced while the platform is down. It must serve
+// its zone with the configuration of its peers, and report ready only once it has that.
 func TestFreshHostWhileThePlatformIsDown(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	b.addPlainService("git-1", "zone-a", time.Millisecond)
@@ -72,8 +73,8 @@
 	require.Equal(t, "served", b.tierOutcome("a2", "low"))
 }
 
-// The platform is restored from an old copy and serves old revisions. A right that an operator took
-// away would come back; also on a host that is replaced just then.
+// Guards against a rollback of the configuration: the platform is restored from an old copy and serves old revisions. A
+// revoked permission must not return, also not on a host that is replaced at that time.
 func TestStalePlatformRevertsNothing(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	b.addPlainService("git-1", "zone-a", time.Millisecond)
@@ -94,8 +95,8 @@
 	}
 }
 
-// Operators of both sides publish at once, some records are bad, some are deleted and made again.
-// A bad one must leave the last good one in force, and say why to its operator.
+// Guards against a bad record that replaces the last good one: records of both schemas are published, two of them invalid,
+// and one is deleted and created again. The last good record must stay active and the status must name the reason.
 func TestBadRecordsDeletionsAndBothSchemas(t *testing.T) {
 	b := newTestbed(t, "a1", "b1")
 	b.addPlainService("git-1", "zone-a", time.Millisecond)
@@ -105,7 +106,7 @@
 	last := b.platform.PublishRaw(fleet.WorkspaceV2("cafe", "cafe-key", []string{"top"}, 50))
 	b.awaitRevision(last, b.hostIDs...)
 	for _, id := range b.hostIDs {
-		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.tierOutcome(id, "low") == "served" }), "the last good record stays in force")
+		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.tierOutcome(id, "low") == "served" }), "the last good record is no longer active")
 		var reasons []string
 		for _, r := range b.status(id).Refused {
 			reasons = append(reasons, fmt.Sprint(r.Record, " ", r.Revision, " ", r.InForce, " ", r.Reason))
@@ -115,7 +116,7 @@
 		require.Contains(t, reasons[0]+reasons[1], fmt.Sprint("workspace/school ", bad))
 	}
 	cafe := fleet.NewCaller("cafe-key").WithHeader("Fireflyshift-Tier", "top")
-	require.True(t, cafe.Call(testCtx(t), "GET", b.addr("b1"), "git", "x", nil).OK(), "a record in the new side's schema")
+	require.True(t, cafe.Call(testCtx(t), "GET", b.addr("b1"), "git", "x", nil).OK(), "a record in schema 2 was not applied")
 	b.awaitRevision(b.platform.Delete(record.KindWorkspace, "cafe"), b.hostIDs...)
 	require.Equal(t, "unknown_key", cafe.Call(testCtx(t), "GET", b.addr("b1"), "git", "x", nil).ErrorKind)
 	b.awaitRevision(b.platform.PublishRaw(fleet.WorkspaceV2("cafe", "cafe-key", []string{"top"}, 50)), b.hostIDs...)
@@ -127,8 +128,8 @@
 	require.Contains(t, out, "refused workspace/school")
 }
 
-// A host comes up alone while the platform is away and no peer can be reached. It has nothing to
-// judge callers by; it must say that it is not ready, and refuse with "not run".
+// Guards against a host that reports ready without a configuration: it starts alone while the platform is down and no peer
+// can be reached, and becomes ready only after the platform is back.
 func TestLoneHostWithoutConfigurationIsNotReady(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.platform.SetMode(platform.Mode{Down: true})
@@ -145,8 +146,8 @@
 	require.True(t, fleet.Ready(waitTimeout, b.hostSpecs["a1"].Admin))
 }
 
-// Two zones cannot see each other for a while. Callers of each must be served by its own servers,
-// and what one zone lacks is refused as not run; after the heal all is as before, without a storm.
+// Guards against failed requests during and after a network partition of two zones. Each zone must serve callers with its own
+// backend servers, refuse what it lacks as not run, and serve across zones again after the heal.
 func TestPartitionOfZonesAndHeal(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "b1", "b2")
 	b.addEngine("ea", "zone-a", fastEngine())
@@ -154,7 +155,7 @@
 	b.addPlainService("git-a", "zone-a", time.Millisecond)
 	b.start()
 	callFar := func() fleet.Response { return tierCaller("top").Call(testCtx(t), "GET", b.addr("b1"), "git", "x", nil) }
-	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return callFar().OK() }), "zone-b reaches the server of zone-a")
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return callFar().OK() }), "zone-b does not reach the backend server of zone-a")
 	heal := b.partitionZones("zone-a", "zone-b")
 	l := startLoad(8, func(worker, i int) fleet.Response {
 		return tierCaller("mid").Chat(testCtx(t), b.addr(b.hostIDs[worker%4]), "notes", fmt.Sprint(worker, "-", i), 10, true)
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// propagationTime is how long after the third end all hosts have to know.
+	// propagationTime is how long after the third crash all hosts must have learned of it.
 	propagationTime = 3 * time.Second
-	// crashesAllowed are the engines that one request may end before it counts as the cause, and sendsAllowed how often it may
-	// be sent after that.
+	// crashesAllowed is how many engines one request may crash before it counts as the cause; furtherCrashesAllowed is how
+	// often it may still be sent to an engine after that.
 	crashesAllowed        = 3
 	furtherCrashesAllowed = 3
 )
@@ -28,9 +28,9 @@
 	return n
 }
 
-// A caller's prompt ends each engine that runs it, and is sent again as a new request, to hosts of two zones in turn. Each time
-// the streams beside it are lost. Nothing remembered what the last one did. After three ends it must be known
-// everywhere; others of the same workspace are served on.
+// Guards against a prompt that crashes one engine after the other: its caller sends it again as a new request to hosts of two
+// zones in turn, and each crash loses the streams in flight beside it. After three crashes all hosts must hold the prompt back,
+// and still serve other requests of the same workspace.
 func TestDeadlyPromptIsKeptFromEngines(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "b1", "b2")
 	for name, zone := range map[string]string{"e1": "zone-a", "e2": "zone-a", "e3": "zone-b", "e4": "zone-b"} {
@@ -49,7 +49,7 @@
 	for i := range 16 {
 		call(i, "a deadly prompt")
 	}
-	require.LessOrEqual(t, b.crashes()-before, furtherCrashesAllowed, "of 16 that came after all hosts had to know")
+	require.LessOrEqual(t, b.crashes()-before, furtherCrashesAllowed, "engine crashes by 16 requests that came after all hosts had to know the prompt")
 	for i := range 8 {
 		a := call(i, fmt.Sprint("another prompt ", i))
 		require.True(t, a.OK(), "%+v", a)
--- a/test/dispatch_test.go
+++ b/test/dispatch_test.go
@@ -19,9 +19,8 @@
 	return c.Call(testCtx(t), "POST", host, "git", "grade-thread", []byte("well done"))
 }
 
-// The host that took a review note dies while the note is being posted. The pupil's client asks
-// again through the balancer, at another host. A second note would confuse the grade thread; the
-// ticket's home is gone, so the second try is told that the work may have run.
+// Guards against a non-idempotent request that runs twice: the host that issued its ticket and runs it dies, and the caller
+// retries at another host. The ticket's home host is gone, so the retry must be refused as "may have run".
 func TestHostDiesWithNonIdempotentWorkInFlight(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	s := b.addPlainService("git-1", "zone-a", 500*time.Millisecond)
@@ -38,8 +37,8 @@
 	require.Equal(t, 1, s.RunsByKey()["note"])
 }
 
-// The host that took the request is not the ticket's home, and dies. The home still knows that the
-// ticket is held: a second try must not run, before or after the first has been forgotten.
+// Guards against a second run of a claimed ticket: the host that claimed it dies, while the ticket's home host lives. The home
+// still holds the claim, so a retry must not run.
 func TestOtherHostDiesWithAClaimedTicket(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "a3")
 	s := b.addPlainService("git-1", "zone-a", 500*time.Millisecond)
@@ -54,8 +53,7 @@
 	require.Equal(t, 1, s.RunsByKey()["note"])
 }
 
-// The same ticket reaches two zones that cannot see each other. Each could think itself the first;
-// only the home's zone may run it.
+// Guards against a ticket that is accepted in two zones during a network partition: only the home host's zone may run it.
 func TestSameTicketInTwoZonesThatCannotSeeEachOther(t *testing.T) {
 	b := newTestbed(t, "a1", "b1")
 	sa, sb := b.addPlainService("git-a", "zone-a", 5*time.Millisecond), b.addPlainService("git-b", "zone-b", 5*time.Millisecond)
@@ -69,12 +67,12 @@
 	heal()
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool {
 		return postWithTicket(t, b.addr("b1"), ticket, "note").ErrorKind == "ticket_done"
-	}), "after the heal the home says that the work ran")
+	}), "after the heal the home host must report that the request ran")
 	require.Equal(t, 1, sa.RunsByKey()["note"]+sb.RunsByKey()["note"])
 }
 
-// A whole process is paused with requests waiting in it, past every lease, and wakes up believing
-// its old grants. Its callers must get one true answer each, and no request may run twice.
+// Guards against a paused process that acts on expired grants: it is stopped past every lease with requests waiting in it.
+// No request may run twice, and none that was refused as "not run" may have run.
 func TestHostWakesPastEveryLease(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	b.addEngine("e1", "zone-a", fastEngine())
@@ -95,14 +93,14 @@
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > before+40 }))
 	for _, a := range l.stop() {
 		if !a.OK() && a.Work == "not run" && a.RequestID != "" {
-			require.Zero(t, b.runsByRequest()[a.RequestID]+s.Runs()[a.RequestID], "request %s was said not to have run", a.RequestID)
+			require.Zero(t, b.runsByRequest()[a.RequestID]+s.Runs()[a.RequestID], "request %s was refused as not run, but ran", a.RequestID)
 		}
 	}
 	b.requireNoneRanTwice()
 }
 
-// The host that schedules a group is paused, the others take the duty, and it wakes up believing
-// that it still has it. Two schedulers then grant on the same servers: callers must not notice.
+// Guards against failures while two hosts schedule the same group: the scheduler is paused, another host takes over the role,
+// and the first resumes as if it still had it. Both then grant slots on the same engines, and callers must not notice.
 func TestTwoHostsBelieveTheyHoldTheSameDuty(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "a3")
 	b.addEngine("e1", "zone-a", fastEngine())
@@ -116,7 +114,7 @@
 	for round := 0; round < 2; round++ {
 		b.hosts[oldScheduler].Signal(syscall.SIGSTOP)
 		before := l.answerCount()
-		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > before+20 }), "nobody took the duty")
+		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > before+20 }), "no host took over the scheduler role")
 		b.hosts[oldScheduler].Signal(syscall.SIGCONT)
 		before = l.answerCount()
 		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > before+20 }))
@@ -128,13 +126,13 @@
 	b.requireNoneRanTwice()
 }
 
-// A plain service runs a price check and its connection dies before the answer. A customer would
-// see two prices if anybody on the way, the HTTP library included, sent the call once more.
+// Guards against a repeated call when the connection to a plain service dies before the answer: the call may have run, so
+// neither the host nor the HTTP library may send it again.
 func TestLostAnswerOfAPlainServiceIsNotAskedForAgain(t *testing.T) {
 	b := newTestbed(t, "a1")
 	s := b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
-	for i := 0; i < 5; i++ { // so that connections are kept and used again
+	for i := 0; i < 5; i++ { // so that connections are reused
 		require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "price", nil).OK())
 	}
 	s.SetMode(plain.Mode{DieAfter: true})
@@ -145,8 +143,8 @@
 	require.Len(t, s.Runs(), 6)
 }
 
-// A backend server refuses connections. The work cannot have begun there, so it is done elsewhere;
-// with no server left the answer is "not run", and that is true.
+// Guards against a false outcome after a refused connection. The request cannot have begun there, so it goes to another
+// server, and without one it is refused as "not run".
 func TestRefusedConnectionIsProvedNotRun(t *testing.T) {
 	b := newTestbed(t, "a1")
 	one, two := b.addPlainService("git-1", "zone-a", time.Millisecond), b.addPlainService("git-2", "zone-a", time.Millisecond)
@@ -163,8 +161,8 @@
 	}
 	a := call()
 	if a.ErrorKind == "outcome_unknown" {
-		// The connection that was kept from the calls before closed as the request was written: that
-		// is no refused connection, and "may have run" is the true word. It is gone now.
+		// The reused connection closed while the request was written. That is no refused connection, so "may have run" is
+		// correct. The connection is gone now, and the next call is refused.
 		require.Equal(t, "may have run", a.Work)
 		a = call()
 	}
@@ -174,8 +172,8 @@
 	require.Len(t, two.Runs(), 10)
 }
 
-// An answer is cut on its way from the engine, again and again. The teacher reading the summary
-// must get all of it, in order, with no sentence twice, and the engine must compute it once.
+// Guards against lost or repeated text when an engine's stream breaks off repeatedly: the host must resume it at the right
+// offset, and the engine must compute the answer once.
 func TestCutStreamIsResumedAtItsOffset(t *testing.T) {
 	b := newTestbed(t, "a1")
 	e := b.addEngine("e1", "zone-a", fastEngine())
@@ -190,9 +188,9 @@
 	b.requireNoneRanTwice()
 }
 
-// An engine closes a body early without an error, sends a chunk of somebody else's answer, leaves a
-// token out, or says too early that it is done. A caller would read a short or torn answer as
-// whole, or another workspace's text; the stream is taken up again at the right place.
+// Guards against a truncated or mixed-up answer that the caller takes for complete: the engine ends the body early without an
+// error, sends a chunk of another request's answer, skips a token, or signals the end too early. The host must notice each
+// and resume the stream at the right place.
 func TestShortAndCrossedAnswersAreNoticed(t *testing.T) {
 	b := newTestbed(t, "a1")
 	e := b.addEngine("e1", "zone-a", fastEngine())
@@ -207,8 +205,8 @@
 	b.requireNoneRanTwice()
 }
 
-// A plain service ends a body before its declared length, or is cut in one of unknown length. The buyer's page must show an error, not
-// half a price list.
+// Guards against a truncated body that the caller takes for complete: a plain service ends it before its declared length, or
+// breaks off one of unknown length.
 func TestShortBodyOfAPlainServiceIsAnError(t *testing.T) {
 	b := newTestbed(t, "a1")
 	s := b.addPlainService("git-1", "zone-a", time.Millisecond)
@@ -221,8 +219,8 @@
 	b.requireNoneRanTwice()
 }
 
-// An engine dies for good in the middle of an answer. The caller learns at once that the answer is
-// not whole and may have run; it does not wait out its deadline, and nothing runs again.
+// Guards against a caller that waits out its deadline when an engine dies during an answer: the caller must learn at once that
+// the answer is incomplete and may have run, and nothing runs again.
 func TestEngineDiesInMidAnswer(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.addEngine("e1", "zone-a", fastEngine())
--- a/test/end_test.go
+++ b/test/end_test.go
@@ -16,10 +16,10 @@
 	"fireflyshift/platform/platformtest"
 )
 
-// idleStopTime is longer than a stopping host stays when no request comes.
+// idleStopTime is longer than a stopping host takes to end if no request arrives.
 const idleStopTime = 2600 * time.Millisecond
 
-// connectAndCall opens a connection to a host and has one request answered on it.
+// connectAndCall opens a connection to a host and completes one request on it.
 func (s *soak) connectAndCall(h *soakHost, id string) *soakConn {
 	c := h.dial()
 	require.NotNil(s.t, c)
@@ -28,7 +28,7 @@
 	return c
 }
 
-// signalStop returns once a host has taken its stop signal.
+// signalStop sends SIGTERM and returns once the host has logged that it is stopping.
 func (s *soak) signalStop(h *soakHost) {
 	h.signal(syscall.SIGTERM)
 	require.Eventually(s.t, func() bool {
@@ -37,8 +37,8 @@
 	}, waitTimeout, time.Millisecond)
 }
 
-// Guards against a stopping host that closes kept connections on which requests have come that it has not read yet: it was
-// paused, or short of processor time, in the last moments before its end.
+// Guards against a stopping host that closes keep-alive connections with unread requests on them, because it was paused or
+// short of CPU time just before its end.
 func TestRequestsThatAreUnreadAtTheEndOfAHost(t *testing.T) {
 	s := newSoak(t, 1)
 	s.endFaults()
@@ -65,11 +65,12 @@
 	for i, err := range errs {
 		require.NoError(t, err, "request %d has neither an answer nor a refusal", i)
 	}
-	// How many the host reads before it ends is its runtime's choice.
+	// How many requests the host reads before it ends depends on the scheduling of its goroutines.
 	t.Logf("statuses: %v", statuses)
 }
 
-// Guards against a stopping host that sends a stream on whose body came as it was about to end, and cuts it.
+// Guards against a stopping host that dispatches a streaming request whose body arrived just before the host ends, and then
+// cuts the stream.
 func TestStreamWhoseBodyComesAroundTheEndIsAnsweredWhole(t *testing.T) {
 	s := newSoak(t, 1)
 	s.endFaults()
@@ -87,7 +88,7 @@
 			_, err := fmt.Fprintf(c, "POST /stream/x HTTP/1.1\r\nHost: %s\r\nX-Fireflyshift-Attempt-Id: around-%d\r\nX-Fireflyshift-Credential: %s\r\n"+
 				"X-Fireflyshift-Deadline-Ms: 4000\r\nContent-Length: 4\r\n\r\nbo", soakDomain, i, soakKey)
 			if err != nil {
-				return // it was late, and its host has ended
+				return // too late: the host has already ended
 			}
 			time.Sleep(time.Duration(100+10*i) * time.Millisecond)
 			_, _ = io.WriteString(c, "dy")
@@ -106,13 +107,13 @@
 
 func assertComplete(t *testing.T, err error) bool {
 	if err != nil {
-		t.Errorf("neither a whole answer nor a refusal: %v", err)
+		t.Errorf("neither a complete answer nor a refusal: %v", err)
 	}
 	return err == nil
 }
 
-// Guards against a stopping host that was paused, or short of processor time, and ends before it has accepted connections
-// that were opened within the balancer's notice: requests on them are reset.
+// Guards against a stopping host that ends before it has accepted connections opened before the load balancer stopped sending
+// to it, because it was paused or short of CPU time: requests on them are reset.
 func TestRequestsOnConnectionsThatWaitForTheirHostAreAnswered(t *testing.T) {
 	s := newSoak(t, 1)
 	s.endFaults()
--- a/test/fleet_test.go
+++ b/test/fleet_test.go
@@ -13,16 +13,15 @@
 	"fireflyshift/internal/standin/platform"
 )
 
-// leaveTimeLimit is how long after its record a leaving backend server may still get work: the watch
-// and the peers carry the news within a second, and a grant already out lives two seconds.
+// leaveTimeLimit is how long after its record a leaving backend server may still get requests: the watch and the peers pass
+// the record on within a second, and a grant issued before that lives two seconds.
 const leaveTimeLimit = 4 * time.Second
 
-// runCount counts what an engine has begun.
+// runCount is how many requests the engine has begun.
 func (b *testbed) runCount(engine string) int { return len(b.engines[engine].Stats().Runs) }
 
-// An operator takes an engine out, by its record or by the host list, while requests pour in, and
-// one host sleeps through the news with grants in hand. The engine's last work must be within the
-// bound; what it runs is answered whole.
+// Guards against requests sent to a leaving engine: its record or the host list marks it as leaving under load, while one host
+// is paused with unused grants. The engine must not begin requests after the time limit.
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "a3")
 	b.addEngine("e1", "zone-a", fastEngine())
@@ -44,15 +43,15 @@
 	after := b.runCount("e1")
 	b.hosts[pausedHost].Signal(syscall.SIGCONT)
 	require.True(t, fleet.WaitUntil(waitTimeout, ranMore("e2")))
-	require.Equal(t, after, b.runCount("e1"), "work after the bound, or from the host that woke up")
+	require.Equal(t, after, b.runCount("e1"), "requests begun after the time limit, or sent by the resumed host")
 
 	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.backendProxies["e1"].Listen, 8, "active"))
-	require.True(t, fleet.WaitUntil(waitTimeout, ranMore("e1")), "a server that returns gets work again")
+	require.True(t, fleet.WaitUntil(waitTimeout, ranMore("e1")), "an engine that is active again gets no requests")
 	b.platform.SetHosts(b.hostList(platform.Host{ID: "machine-1", Zone: "zone-a", Addr: b.backendProxies["e1"].Listen, Role: "backend", State: "leaving"}))
 	time.Sleep(leaveTimeLimit)
 	after = b.runCount("e1")
 	require.True(t, fleet.WaitUntil(waitTimeout, ranMore("e2")))
-	require.Equal(t, after, b.runCount("e1"), "the host list alone says that it is leaving")
+	require.Equal(t, after, b.runCount("e1"), "requests begun by an engine that only the host list marks as leaving")
 	for _, a := range l.stop() {
 		require.True(t, a.OK() || a.ErrorKind != "", "%+v", a)
 	}
@@ -67,7 +66,7 @@
 	return append(rows, more...)
 }
 
-// loadBalancer sends to hosts that say they are ready, as the platform's does, checking every 50 ms.
+// loadBalancer picks hosts that report ready in turn, as the platform's does; it probes every 50 ms.
 type loadBalancer struct {
 	mu    sync.Mutex
 	ready []string
@@ -113,8 +112,8 @@
 	return l.ready[l.next%len(l.ready)]
 }
 
-// All hosts of a zone are replaced one after the other under load, as for a new version. No caller
-// behind the balancer may lose an answer, streamed or plain.
+// Guards against answers lost in a rolling upgrade: all hosts of a zone are replaced one after the other under load, and no
+// caller behind the load balancer may lose a streamed or plain answer.
 func TestRollOfAWholeZoneLosesNoAnswer(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "a3")
 	b.addEngine("e1", "zone-a", fastEngine())
@@ -138,7 +137,7 @@
 		require.NoError(t, b.hosts[id].Wait(waitTimeout), "%s", b.hosts[id].Log)
 		b.startHost(id)
 		require.True(t, fleet.Ready(waitTimeout, b.hostSpecs[id].Admin))
-		time.Sleep(200 * time.Millisecond) // the balancer has to see it
+		time.Sleep(200 * time.Millisecond) // until the load balancer has probed it
 	}
 	answers := l.stop()
 	for _, a := range answers {
@@ -148,8 +147,8 @@
 	b.requireNoneRanTwice()
 }
 
-// A host is told to stop while it streams a long answer. The answer goes on to its end; new callers
-// are refused with "not run"; the process ends by itself after the last answer.
+// Guards against a stopping host that cuts a stream: the stream must complete, new requests are refused as "not run", and the
+// process ends after the last answer.
 func TestShutdownWaitsForTheStream(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.addEngine("e1", "zone-a", fastEngine())
@@ -171,12 +170,12 @@
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 }
 
-// A stream is stuck, and a host has to go. The drain limit ends the wait; and before that, a second
-// signal does.
+// Guards against a host that never stops because of a stuck stream: the drain limit, or a second signal before it, must end
+// the wait.
 func TestSecondSignalAndDrainLimitEndTheWait(t *testing.T) {
 	for _, secondSignal := range []bool{true, false} {
 		b := newTestbed(t, "a1")
-		b.extraSettings = "limit = 2s\n" // in [drain], which the settings end with
+		b.extraSettings = "limit = 2s\n" // belongs to [drain], the last section of the settings
 		o := fastEngine()
 		o.Step = 100 * time.Millisecond
 		b.addEngine("e1", "zone-a", o)
@@ -192,7 +191,7 @@
 			b.hosts["a1"].Signal(syscall.SIGTERM)
 		}
 		require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
-		require.False(t, (<-done).OK(), "a cut answer is not taken for a whole one")
+		require.False(t, (<-done).OK(), "an answer that was cut must not look complete")
 		want := "Drain limit reached"
 		if secondSignal {
 			want = "Second signal"
--- a/test/notice_test.go
+++ b/test/notice_test.go
@@ -14,14 +14,14 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// Guards against a stop that ends a connection in the middle of a head: the caller would get no reason and no time to come
-// back.
+// Guards against a stop that closes a connection in the middle of a request head: the caller would get no reason and no
+// retry delay.
 func TestStopWaitsForAHeadThatIsStillRead(t *testing.T) {
 	b := newSingleHostBed(t, time.Millisecond)
 	c := connect(t, b.addr("a1"))
 	_, err := c.Write([]byte(stockRequest[:headBytesSent]))
 	require.NoError(t, err)
-	time.Sleep(50 * time.Millisecond) // the host has read them
+	time.Sleep(50 * time.Millisecond) // until the host has read them
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	time.AfterFunc(drainGrace+time.Second, func() { _, _ = c.Write([]byte(stockRequest[headBytesSent:])) })
 	r := c.read()
@@ -30,7 +30,8 @@
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 }
 
-// Guards against an idle connection that ends without the word that a request which has just been sent on it has not run.
+// Guards against an idle connection that closes without a response: a caller that has just sent a request on it could not know
+// that the request did not run.
 func TestStopTellsIdleConnectionsThatNothingRan(t *testing.T) {
 	b := newSingleHostBed(t, time.Millisecond)
 	c := connectReused(t, b.addr("a1"))
@@ -43,7 +44,8 @@
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 }
 
-// Guards against a drain limit that cuts a caller off whose answer has begun at this host only.
+// Guards against a drain limit that closes a connection without a status when the plain service has begun its answer but the
+// host has sent none of it to the caller.
 func TestDrainLimitWhereAPlainServiceHasBegun(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.extraSettings = "limit = 1s\n"
@@ -67,7 +69,7 @@
 	require.Equal(t, http.StatusBadGateway, r.status)
 }
 
-// Guards against a caller without a valid key whose body never comes, and that keeps a stopping host until its drain limit.
+// Guards against a caller without a valid key that never sends its body, and so keeps a stopping host until its drain limit.
 func TestRefusedCallerWhoseBodyStaysAwayDoesNotKeepAHost(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.addPlainService("git-1", "zone-a", time.Millisecond)
@@ -82,13 +84,14 @@
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 }
 
-// Guards against new connections that keep a stopping host until its drain limit, as from a balancer that looks at readiness late.
+// Guards against new connections that keep a stopping host until its drain limit, as from a load balancer that is late to
+// probe readiness.
 func TestConnectionsThatComeOnDoNotKeepAHost(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
 	done := make(chan struct{})
-	go func() { // eight new connections a second, each with one whole request a little later
+	go func() { // eight new connections a second; each sends one complete request 150 ms later
 		for {
 			select {
 			case <-done:
@@ -112,5 +115,5 @@
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	err := b.hosts["a1"].Wait(waitTimeout)
 	close(done)
-	require.NoError(t, err, "the stop waits for its limit")
+	require.NoError(t, err, "the host stopped only at its drain limit")
 }
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -15,7 +15,7 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// pauseCount is how often a host is paused: a few times in CI, as often as FIREFLYSHIFT_PAUSES says by hand.
+// pauseCount is how often a host is paused: twice in CI, or FIREFLYSHIFT_PAUSES times.
 func pauseCount() int {
 	if n, err := strconv.Atoi(os.Getenv("FIREFLYSHIFT_PAUSES")); err == nil {
 		return n
@@ -23,12 +23,11 @@
 	return 2
 }
 
-// Callers have requests waiting on a host when it is paused, and an operator takes an engine out meanwhile. The host
-// wakes up four seconds later. Its timer fired before it had read a socket: it took all others for dead, computed that the
-// group was its own, granted itself places on the engine that was leaving, and sent up to a window of requests there.
-// The log lines that showed it: "Dispatch." with backend=e1, scheduler= the woken host itself, granted_ago_ms of 3 to 27 and
-// lease_left_ms of 1,971 to 1,995, right after "The process was paused."; in each request's trail "asked" of itself
-// follows "asked" of the scheduler.
+// Guards against requests sent to a leaving engine by a host that resumes after a pause of four seconds, in which the engine
+// began to leave. The host's timer fired before it had read a socket, so it took all its peers for dead, became scheduler of
+// the group itself and granted itself slots on the leaving engine. The log then had "Dispatch." with backend=e1, the resumed
+// host as scheduler, granted_ago_ms of 3 to 27 and lease_left_ms of 1,971 to 1,995, right after "The process was paused.".
+// Each request's trace showed a slot request to the host itself after one to the real scheduler.
 func TestWokenHostSendsNothingToALeavingServer(t *testing.T) {
 	for _, role := range []string{"entry", "scheduler"} {
 		t.Run(role, func(t *testing.T) {
@@ -53,12 +52,12 @@
 				require.True(t, a.OK() || a.ErrorKind != "", "%+v", a)
 			}
 			b.requireNoneRanTwice()
-			require.Zero(t, late, "requests begun by the leaving engine after the bound")
+			require.Zero(t, late, "requests begun by the leaving engine after the time limit")
 		})
 	}
 }
 
-// pauseWhileBackendLeaves pauses a host while e1 begins to leave, and counts what e1 begins after the bound.
+// pauseWhileBackendLeaves pauses a host while e1 begins to leave, and counts the requests that e1 begins after the time limit.
 func (b *testbed) pauseWhileBackendLeaves(pausedHost string, after time.Duration) int {
 	ranMore := func(engine string, more int) func() bool {
 		before := b.runCount(engine)
@@ -84,12 +83,12 @@
 	return late
 }
 
-// logLateRequest shows what the sleeper says of a request that was begun too late.
+// logLateRequest logs what the paused host recorded about a request that was begun too late.
 func (b *testbed) logLateRequest(pausedHost, id string, at, bound time.Time) {
 	_, trace, err := fleet.Get("http://" + b.hostSpecs[pausedHost].Admin + "/explain/" + id)
-	b.t.Logf("%s began %s, %s after the bound (%v)\n%s", id, at.UTC().Format("15:04:05.000000"), at.Sub(bound), err, trace)
+	b.t.Logf("%s began at %s, %s after the time limit (%v)\n%s", id, at.UTC().Format("15:04:05.000000"), at.Sub(bound), err, trace)
 	for _, line := range strings.Split(b.hosts[pausedHost].Log.String(), "\n") {
-		if strings.Contains(line, id) || strings.Contains(line, "paused") || strings.Contains(line, "in force") {
+		if strings.Contains(line, id) || strings.Contains(line, "paused") || strings.Contains(line, "Configuration activated") {
 			b.t.Log(line)
 		}
 	}
--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -16,27 +16,28 @@
 	"fireflyshift/platform/platformtest"
 )
 
-// Callers keep their connections open and use them until they are told or see that they are closed. Some send a
-// request in two parts. On each planned stop, more callers come with connections that were open before.
+// Soak callers keep their connections open and reuse them until they learn that the host has closed them. Some send a
+// request in two parts. On each planned stop, additional callers use connections that were opened before it.
 //
-// What they are promised: a request of which anything was sent on a connection that was open just before gets an
-// answer or a refusal, and an answer that has begun is cut off only as the grace ends or because its backend
-// server was lost. Nothing is promised of a process that was killed, or paused as its grace ended.
+// What the test requires: a request of which any byte was sent on a connection that was open just before gets an answer or a
+// refusal, and an answer that has begun is cut only when the grace period ends or because its backend server was lost.
+// Nothing is required of a process that was killed, or was paused when its grace period ended.
 
 const (
-	// soakBalancerDelay is when the platform's balancer has stopped sending connections to a host that is not ready:
-	// one that is opened later reaches a host that may end at any moment.
+	// soakBalancerDelay is how long after a host reports not ready the platform's load balancer may still send it connections.
+	// A connection that is opened later reaches a host that may end at any moment.
 	soakBalancerDelay = 2500 * time.Millisecond
-	// cutsAllowedAfter is when after its signal a stopping host may cut answers: its grace but for what its end takes.
+	// cutsAllowedAfter is how long after its stop signal a host may cut answers: its grace period less the time that its exit
+	// takes.
 	cutsAllowedAfter = soakGraceSeconds*time.Second - 500*time.Millisecond
-	// exitReportDelay is how long before a process is seen to have ended its last acts may be.
+	// exitReportDelay is how long before the observed exit of a process its last actions may have been.
 	exitReportDelay   = 300 * time.Millisecond
-	soakAnswerTimeout = 8 * time.Second // twice the callers' deadline
+	soakAnswerTimeout = 8 * time.Second // twice the deadline of the requests
 )
 
 var requestKinds = []string{"stream", "once", "check"}
 
-// requestPause is a pause inside a request: after a share of its head, or of its body.
+// requestPause is a pause within a request: after a part of its head, or of its body.
 type requestPause struct {
 	inHead, inBody bool
 	pause          time.Duration
@@ -53,22 +54,22 @@
 	return &soakConn{conn, bufio.NewReader(conn), process, time.Now()}
 }
 
-// dial connects to a host's process, if there is one.
+// dial connects to a host's current process, and returns nil if that fails.
 func (h *soakHost) dial() *soakConn {
 	process := h.proc.Load()
 	conn, err := net.DialTimeout("tcp", h.ip+":18221", time.Second)
 	if err != nil {
 		return nil
 	}
-	if h.proc.Load() != process { // it is not known which process took it
+	if h.proc.Load() != process { // it is unknown which process accepted the connection
 		_ = conn.Close()
 		return nil
 	}
 	return newSoakConn(conn, process)
 }
 
-// openWithoutData tells that the connection is open, and that nothing came on it. It asks the kernel: a read with a deadline
-// that has passed would not look.
+// openWithoutData reports whether the connection is open and no data has arrived on it. It asks the kernel, since a read whose
+// deadline has passed would not look at the socket.
 func (c *soakConn) openWithoutData() bool {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil || c.r.Buffered() > 0 {
@@ -81,14 +82,14 @@
 	return err == nil && seen == syscall.EAGAIN
 }
 
-// sleepWhileQuiet ends early where something comes on the connection.
+// sleepWhileQuiet sleeps for d, or until data arrives on the connection or it is closed.
 func (c *soakConn) sleepWhileQuiet(d time.Duration) {
 	for until := time.Now().Add(d); time.Now().Before(until) && c.openWithoutData(); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// soakReply is what a caller saw. Without a time sent nothing was sent.
+// soakReply is what a caller received. sentAt is zero if nothing was sent.
 type soakReply struct {
 	resp               *http.Response
 	body               string
@@ -96,7 +97,7 @@
 	sentAt, receivedAt time.Time
 }
 
-// send makes a request, if the connection is open.
+// send makes a request, unless the connection is closed or has unexpected data.
 func (c *soakConn) send(kind, id string, p requestPause) soakReply {
 	const body = "body"
 	var b bytes.Buffer
@@ -121,7 +122,7 @@
 	if first < len(text) {
 		c.sleepWhileQuiet(p.pause)
 		if c.openWithoutData() {
-			_, _ = c.Write(text[first:]) // what the host has said meanwhile is there to be read
+			_, _ = c.Write(text[first:]) // on an error, what the host has already sent can still be read
 		}
 	}
 	r.resp, r.err = http.ReadResponse(c.r, &http.Request{Method: http.MethodPost})
@@ -134,7 +135,7 @@
 	return r
 }
 
-// call makes one request as a caller does, over a kept connection where there is one.
+// call makes one request to a random host, over a kept connection if there is one.
 func (s *soak) call(rng *rand.Rand, conns map[string]*soakConn) {
 	h := s.hosts[rng.IntN(len(s.hosts))]
 	kind := requestKinds[rng.IntN(len(requestKinds))]
@@ -155,7 +156,7 @@
 	}
 }
 
-// attempt makes one request and judges what came of it. It tells whether the connection can be used again.
+// attempt makes one request and checks its outcome. It reports whether the connection can be reused.
 func (s *soak) attempt(c *soakConn, kind string, p requestPause) bool {
 	id := fmt.Sprintf("%s-%d", kind, s.attempts.Add(1))
 	s.recordCall(id, soakCall{kind: kind})
@@ -181,7 +182,7 @@
 	s.calls[id] = c
 }
 
-// checkAnswer holds one answer against what its caller was promised.
+// checkAnswer checks one answer, complete or cut, against what its caller may expect.
 func (s *soak) checkAnswer(id, kind string, resp *http.Response, body string, err error) {
 	switch {
 	case resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusRequestTimeout:
@@ -192,7 +193,7 @@
 	case resp.Header.Get("X-Fireflyshift-Attempt-Id") != id:
 		s.fail("%s got the answer of %s", id, resp.Header.Get("X-Fireflyshift-Attempt-Id"))
 	case kind == "stream" && err == nil && body != platformtest.Stream(0, soakEvents):
-		s.fail("%s got a whole stream that is not: %q", id, body)
+		s.fail("%s got a complete stream with the wrong content: %q", id, body)
 	case kind == "stream" && !strings.HasPrefix(platformtest.Stream(0, soakEvents), body):
 		s.fail("%s got a stream with a gap or a repeat: %q", id, body)
 	case kind != "stream" && err == nil && body != "whole answer of "+id:
@@ -203,7 +204,7 @@
 	}
 }
 
-// failedCall is a request of which at least a part was sent, and whose caller has no whole answer.
+// failedCall is a request of which at least a part was sent, and whose caller has no complete answer.
 type failedCall struct {
 	soakReply
 	process  *soakProcess
@@ -212,8 +213,8 @@
 	opened time.Time
 }
 
-// checkFailedCall tells a broken promise from what is allowed, by what its caller saw, the signals that its host got, and for
-// an answer that has begun by the host's log.
+// checkFailedCall decides whether a call was allowed to fail, by what its caller received, the signals that its host got and,
+// for an answer that has begun, the host's log.
 func (s *soak) checkFailedCall(b failedCall, log []byte) {
 	stopped, ended := time.UnixMilli(b.process.stopped.Load()), time.UnixMilli(b.process.ended.Load())
 	stopping := b.process.stopped.Load() > 0 && b.receivedAt.After(stopped)
@@ -223,13 +224,13 @@
 		s.allowedFailures["killed"]++
 		return
 	case b.process.pausedUntil.Load() >= b.sentAt.UnixMilli() && stopping && b.receivedAt.Sub(stopped) > cutsAllowedAfter:
-		s.allowedFailures["paused as the grace ended"]++
+		s.allowedFailures["paused when the grace period ended"]++
 		return
 	case b.resp == nil && stopping && b.opened.Sub(stopped) > soakBalancerDelay:
-		s.allowedFailures["opened after the balancer's notice"]++
+		s.allowedFailures["opened after the load balancer's delay"]++
 		return
 	case b.resp != nil && stopping && b.receivedAt.Sub(stopped) > cutsAllowedAfter:
-		s.allowedFailures["cut as the grace ended"]++
+		s.allowedFailures["cut when the grace period ended"]++
 		return
 	case b.resp != nil && b.resp.StatusCode == http.StatusOK && b.kind == "stream" && cutIsExplained(log, b.id, !ending):
 		s.allowedFailures["backend server lost inside a stream"]++
@@ -252,8 +253,8 @@
 	s.failures = append(s.failures, fmt.Sprintf("%s of %s %s: %v, %s", b.id, b.process.host.ip, what, b.err, how))
 }
 
-// cutIsExplained tells whether a host's log says why it cut an answer off. Information lines are dropped under load, so that
-// one that lacks tells nothing, unless its host was ending and had little to say.
+// cutIsExplained reports whether a host's log gives a reason for cutting an answer. Info lines are dropped under load, so a
+// missing line proves nothing unless the host was ending and had little to log: ifMissing is the result without a line.
 func cutIsExplained(log []byte, id string, ifMissing bool) bool {
 	for line := range bytes.Lines(log) {
 		if bytes.Contains(line, []byte(`"id":"`+id+`"`)) && bytes.Contains(line, []byte(`"outcome"`)) {
@@ -266,9 +267,9 @@
 // lateCall is a request on a connection that was open before its host was told to stop.
 type lateCall struct {
 	kind string
-	// reused tells that the connection has carried a request before.
+	// reused is set if the connection carries another request before.
 	reused bool
-	delay  time.Duration // from the signal
+	delay  time.Duration // from the stop signal
 	requestPause
 }
 
@@ -276,18 +277,18 @@
 	burstsPerStop   = 6
 	callersPerBurst = 6
 	slowCallers     = 12
-	firstBurst      = 2450 * time.Millisecond // a host may end soon after soakNotice,
-	burstInterval   = 380 * time.Millisecond  // or once nobody has used it for 0.4 s,
+	firstBurst      = 2450 * time.Millisecond // a host may end soon after soakBalancerDelay,
+	burstInterval   = 380 * time.Millisecond  // or once it has been idle for 0.4 s
 	burstsAtCut     = cutsAllowedAfter - 100*time.Millisecond
 	burstSpread     = 120  // milliseconds
 	burstJitter     = 2000 // microseconds
 	slowPauseMin    = 100  // milliseconds
 	slowPauseSpread = 1400
-	// blockingPause keeps a host until its grace ends.
+	// blockingPause keeps a host from ending before its grace period is over.
 	blockingPause = (soakGraceSeconds + 1) * time.Second
 )
 
-// lateCalls are the late callers of one planned stop.
+// lateCalls collects the late calls of one planned stop.
 type lateCalls struct {
 	s     *soak
 	calls []lateCall
@@ -297,7 +298,7 @@
 	l.calls = append(l.calls, lateCall{requestKinds[l.s.rng.IntN(len(requestKinds))], l.s.rng.IntN(2) == 0, after, p})
 }
 
-// addBursts come at once, or nearly, again and again.
+// addBursts adds bursts of nearly simultaneous calls.
 func (l *lateCalls) addBursts(at, every time.Duration) {
 	for range burstsPerStop {
 		at += time.Duration(l.s.rng.IntN(burstSpread)) * time.Millisecond
@@ -308,7 +309,7 @@
 	}
 }
 
-// addSlow callers send in two parts, those that pause in the body early, so that the host is left alone later.
+// addSlow adds callers that send in two parts. Those that pause in the body come early, so that the host is idle later.
 func (l *lateCalls) addSlow() {
 	for i := range slowCallers {
 		p := requestPause{inHead: i%2 == 0, inBody: i%2 != 0, pause: time.Duration(slowPauseMin+l.s.rng.IntN(slowPauseSpread)) * time.Millisecond}
@@ -320,8 +321,8 @@
 	}
 }
 
-// drawLateCalls draws callers who come around the moments in which a host may end: alone, with slow ones, or at the end of
-// the grace, to which one keeps the host.
+// drawLateCalls draws calls around the moments when a host may end: bursts alone, with slow callers, or at the end of the
+// grace period, until which one caller keeps the host.
 func (s *soak) drawLateCalls() []lateCall {
 	l := &lateCalls{s: s}
 	switch s.rng.IntN(5) {
@@ -338,12 +339,13 @@
 	return l.calls
 }
 
-// startLateCalls opens the late callers' connections, if the host listens; each then sends once, unless it sees that its connection is closed.
+// startLateCalls opens the late callers' connections if the host listens. Each then sends one request, unless its connection has
+// been closed. It returns false if the host does not listen yet.
 func (s *soak) startLateCalls(h *soakHost, calls []lateCall) bool {
 	for _, l := range calls {
 		c := h.dial()
 		if c == nil {
-			return false // it does not listen yet
+			return false // the host does not listen yet
 		}
 		s.stops.Add(1)
 		go func() {
@@ -360,14 +362,15 @@
 	return true
 }
 
-// plannedWorkSeeds are run in CI. All of them failed: hosts ended while a request's head was being read, or had just come.
+// plannedWorkSeeds are run in CI. Each of them has failed because hosts ended while a request head was being read, or had just
+// arrived.
 var plannedWorkSeeds = []uint64{10, 11, 12, 13}
 
-// TestSoakPlannedWork guards against requests that get neither an answer nor a refusal, or whose answer is cut, as
-// hosts are stopped in series and together by SIGTERM, while settings and configurations change and anything else fails.
+// TestSoakPlannedWork guards against requests that get neither an answer nor a refusal, or whose answer is cut, while hosts
+// are stopped by SIGTERM one by one and together, settings and configurations change, and other faults are injected.
 func TestSoakPlannedWork(t *testing.T) { runSeeds(t, plannedWorkSeeds, (*soak).plannedWork) }
 
-// plannedWork stops hosts one after the other, mostly before the one before has ended.
+// plannedWork stops hosts one after the other, mostly before the previous one has ended.
 func (s *soak) plannedWork() {
 	if s.rng.IntN(3) == 0 {
 		s.injectFault()
@@ -387,7 +390,7 @@
 				s.publishConfig()
 			case 2:
 				if h.uptime() > time.Second && h.proc.Load().stopped.Load() > 0 {
-					h.signal(syscall.SIGTERM) // once more
+					h.signal(syscall.SIGTERM) // a second signal
 				}
 			default:
 				s.pauseHost(h, time.Duration(100+s.rng.IntN(1500))*time.Millisecond)
@@ -396,7 +399,8 @@
 	}
 }
 
-// plannedStop stops a host while late callers come, and starts it again, at times only to stop it at once. One that is being stopped is left to that.
+// plannedStop stops a host during late calls and starts it again, sometimes only to stop it once more. A host that is already
+// being stopped is left alone.
 func (s *soak) plannedStop(h *soakHost) {
 	calls := s.drawLateCalls()
 	balancerDelay := time.Duration(s.rng.IntN(int(soakBalancerDelay)))
@@ -419,7 +423,7 @@
 	}()
 }
 
-// lateCallSetup is for late callers' connections to be accepted, and some used.
+// lateCallSetup is the time for the connections of late callers to be accepted, and for some to be used once.
 const lateCallSetup = 150 * time.Millisecond
 
 func (s *soak) stopWithLateCallers(h *soakHost, calls []lateCall, balancerDelay time.Duration) {
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -28,17 +28,18 @@
 	"fireflyshift/platform/platformtest"
 )
 
-// The soak runs real daemons of the platform's path and injects faults from outside them: their
-// connections to the store and to backend servers go through a proxy that delays, resets and
-// silences them; the processes are stopped, paused, killed and restarted by signals; the store and
-// the backend servers misbehave; configurations, registrations and settings change meanwhile. What
-// callers and backend servers see is held against the promises. Backend servers start again under their
-// IDs, and other programs write where they register. Hosts also hear datagrams of a host that is not there. Datagrams between hosts and the machine's clocks are not disturbed; a paused process
-// stands for a suspended machine.
-
-// soakSeeds are run in CI, soakFor each. 1028: a host that had been paused ended before it had accepted the connections that waited for it. Seeds that failed while this test was written, all by faults of
-// the test itself: 118 (its operator did not write again that a zone was taken back, which the store had lost), 1 (a stop signal in the first moments of a process), 2 (a paused host was waited for
-// under the lock that its waking needs), 13, 23, 36 and 49 (a data race in the test).
+// The soak test runs real daemons in platform mode and injects faults from outside. Their connections to the store and to
+// backend servers pass through a proxy that delays, resets and blocks them. Processes are stopped, paused, killed and
+// restarted by signals. The store and the backend servers misbehave, backend servers restart under the same ID, and other
+// programs overwrite their registrations. Configurations, registrations and settings change meanwhile, and hosts receive
+// datagrams of a host that does not exist. What callers and backend servers observe is checked against the guarantees.
+//
+// Not disturbed are the datagrams between hosts and the clocks; a paused process stands for a suspended machine.
+
+// soakSeeds are run in CI, for soakDuration each. Seed 1028 found a host that ended after a pause before it had accepted the
+// connections that waited for it. Other seeds failed because of faults in the test itself: 118 (it did not write again that an
+// evacuation had ended, which the store had lost), 1 (a stop signal just after a process had started), 2 (it waited for a
+// paused host under the lock needed to resume it), and 13, 23, 36 and 49 (a data race).
 var soakSeeds = []uint64{1, 2, 3, 1028}
 
 const (
@@ -48,13 +49,12 @@
 	soakKey          = "soak-key"
 	soakDomain       = "soak.example"
 	soakGraceSeconds = 8
-	// soakColdStart and soakColdRate are of a backend server that has just started.
+	// soakColdStart and soakColdStartRate are the duration and the request rate of a backend server's cold start.
 	soakColdStart     = 2 * time.Second
 	soakColdStartRate = 5.0
-	logTailBytes      = 20000 // bytes of a host's log that a failure shows
+	logTailBytes      = 20000 // bytes of a host's log that are printed after a failure
 )
 
-// soak is one run.
 type soak struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -67,20 +67,21 @@
 	hosts           []*soakHost
 	mu              sync.Mutex
 	backends        []*platformtest.Backend
-	proxyAddr       map[string]string // the proxy's address by backend server
+	proxyAddr       map[string]string // address of the proxy by backend server ID
 	calls           map[string]soakCall
 	failures        []string
 	failedCalls     []failedCall
-	allowedFailures map[string]int // broken calls that break no promise, by why
+	allowedFailures map[string]int // number of failed calls that were allowed to fail, by reason
 	attempts        atomic.Int64
 	answered        atomic.Int64
-	// stops are planned stops under way, with their late callers.
+	// stops tracks the planned stops in progress and their late callers.
 	stops sync.WaitGroup
-	// snapshot is what the store may come back from, and era how often it has; gone are the servers that have left for good.
+	// snapshot is the copy from which the store may be restored and era counts the restores. removed has the IDs of backend
+	// servers that have left for good.
 	snapshot *platformtest.Snapshot
 	era      uint64
 	removed  map[string]bool
-	// evacuated are the zones that the operator has evacuated.
+	// evacuated has the zones under evacuation.
 	evacuated map[string]bool
 }
 
@@ -89,7 +90,7 @@
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	proc    atomic.Pointer[soakProcess]
-	// outOfBalancer tells that the balancer sends no new connections.
+	// outOfBalancer is set while the load balancer sends no new connections.
 	outOfBalancer atomic.Bool
 	log           *os.File
 }
@@ -100,13 +101,13 @@
 	osProcess      *os.Process
 	started        int64
 	stopped, ended atomic.Int64
-	// stopping is closed as the process is told to stop.
+	// stopping is closed when the process is told to stop.
 	stopping    chan struct{}
 	killed      atomic.Int64 // when it was sent SIGKILL
-	pausedUntil atomic.Int64 // and what it did late because of it is over
+	pausedUntil atomic.Int64 // includes the time for late actions after the pause
 }
 
-// soakCall is what a caller knows of one of its tries.
+// soakCall is what a caller knows about one attempt.
 type soakCall struct {
 	kind    string
 	refused bool
@@ -114,7 +115,7 @@
 
 var subnetCounter atomic.Int32
 
-// claimSubnet finds a part of the loopback range that no other soak uses, and holds it by a listener.
+// claimSubnet finds a part of the loopback range that no other soak run uses, and reserves it with a listener.
 func claimSubnet(t *testing.T) int {
 	const nets = 250
 	for range nets {
@@ -157,7 +158,7 @@
 	return l.Addr().String()
 }
 
-// addLink puts a proxy in front of an address.
+// addLink starts a proxy in front of an address and returns the proxy's address.
 func (s *soak) addLink(upstream string) string {
 	p := toxiproxy.NewProxy(s.proxyServer, fmt.Sprintf("link-%d", len(s.links)), s.ip(251)+":0", upstream)
 	require.NoError(s.t, p.Start())
@@ -179,7 +180,7 @@
 	s.store.Put("op/config", platformtest.Config(s.version, routes, []platformtest.Workspace{{Name: "soak", Keys: []string{soakKey}, Rate: 1e7, Burst: 1e7}}))
 }
 
-// addBackend starts a addBackend server behind a proxy and registers it.
+// addBackend starts a backend server behind a proxy and registers it.
 func (s *soak) addBackend(service string) *platformtest.Backend {
 	events := 0
 	if service == "models" {
@@ -221,7 +222,7 @@
 	cmd := exec.Command(filepath.Join(raceBinDir, "fireflyshiftd"), "--platform")
 	cmd.Env = []string{"FIREFLYSHIFT_SETTINGS=" + filepath.Join(h.dir, "settings.json"), "GORACE=halt_on_error=1 atexit_sleep_ms=0"}
 	cmd.Stdout, cmd.Stderr = h.log, h.log
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a test that is killed leaves none behind
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process survives a test that is killed
 	require.NoError(s.t, cmd.Start())
 	h.cmd = cmd
 	h.proc.Store(&soakProcess{host: h, osProcess: cmd.Process, started: time.Now().UnixMilli(), stopping: make(chan struct{})})
@@ -229,7 +230,7 @@
 
 func (h *soakHost) uptime() time.Duration { return time.Since(time.UnixMilli(h.proc.Load().started)) }
 
-// wait waits for a process and tells how it ended.
+// wait waits for the process to end and returns its exit error.
 func (h *soakHost) wait() error {
 	err := h.cmd.Wait()
 	h.proc.Load().ended.Store(time.Now().UnixMilli())
@@ -237,13 +238,13 @@
 	return err
 }
 
-// kill ends a process without its doing.
+// kill sends SIGKILL and records when.
 func (h *soakHost) kill() {
 	h.proc.Load().killed.Store(time.Now().UnixMilli())
 	h.signal(syscall.SIGKILL)
 }
 
-// signal takes no lock: a paused process must be woken while another goroutine waits for its end.
+// signal takes no lock: a paused process must be resumed while another goroutine waits for its exit.
 func (h *soakHost) signal(sig syscall.Signal) {
 	_ = h.proc.Load().osProcess.Signal(sig)
 }
@@ -251,12 +252,12 @@
 func (s *soak) close() {
 	if s.t.Failed() {
 		for _, h := range s.hosts {
-			h.signal(syscall.SIGQUIT) // prints what each goroutine waits for
+			h.signal(syscall.SIGQUIT) // prints the stacks of all goroutines
 		}
 		time.Sleep(time.Second)
 		for _, h := range s.hosts {
 			log, _ := os.ReadFile(h.log.Name())
-			s.t.Logf("host %s, the end of its log:\n%s", h.ip, log[max(0, len(log)-logTailBytes):])
+			s.t.Logf("host %s, end of log:\n%s", h.ip, log[max(0, len(log)-logTailBytes):])
 		}
 	}
 	for _, h := range s.hosts {
@@ -276,7 +277,7 @@
 	s.failures = append(s.failures, fmt.Sprintf(format, args...))
 }
 
-// injectFault does one thing at random. It runs on one goroutine, so that a seed gives one series.
+// injectFault injects one random fault. It runs on a single goroutine, so that a seed gives one sequence.
 func (s *soak) injectFault() {
 	h := s.hosts[s.rng.IntN(len(s.hosts))]
 	switch s.rng.IntN(25) {
@@ -316,7 +317,7 @@
 	case 17:
 		old := s.randomBackend()
 		s.addBackend(old.Service)
-		old.AnnounceLeaving() // and its registration goes on saying that it is ready
+		old.AnnounceLeaving() // but keeps its registration as ready
 	case 18, 19:
 		s.evacuateFor([]string{"zone-a", "zone-b"}[s.rng.IntN(2)], time.Duration(200+s.rng.IntN(1500))*time.Millisecond)
 	case 20:
@@ -329,7 +330,7 @@
 	}
 }
 
-// restartHost ends a process by a signal, from outside, and starts it again after a pause.
+// restartHost stops a process by a signal in the background and starts it again after a pause.
 func (s *soak) restartHost(h *soakHost, sig syscall.Signal, downtime time.Duration) {
 	go func() {
 		h.mu.Lock()
@@ -343,7 +344,7 @@
 	}()
 }
 
-// stopHost ends a process by SIGKILL, or by SIGTERM and within its grace.
+// stopHost ends a process by SIGKILL, or by SIGTERM and then checks that it ends within its grace period.
 func (s *soak) stopHost(h *soakHost, sig syscall.Signal) {
 	process := h.proc.Load()
 	process.stopped.Store(time.Now().UnixMilli())
@@ -354,18 +355,18 @@
 		h.signal(sig)
 	}
 	kill := time.AfterFunc((soakGraceSeconds+2)*time.Second, func() {
-		s.fail("a stopped host was still there after its grace")
+		s.fail("a stopped host was still running after its grace period")
 		h.kill()
 	})
 	err := h.wait()
 	kill.Stop()
-	// A process that has just been started dies of the signal: it serves nobody yet.
+	// A process that has just been started may die of the signal; it serves no callers yet.
 	if sig == syscall.SIGTERM && err != nil && h.uptime() > 5*time.Second {
-		s.fail("a stopped host ended with %v", err)
+		s.fail("a stopped host exited with %v", err)
 	}
 }
 
-// afterPause is how long after a pause its host may still do late what it had to do meanwhile.
+// afterPause is how long after a pause a host may still do late what was due during the pause.
 const afterPause = time.Second
 
 func (s *soak) pauseHost(h *soakHost, d time.Duration) {
@@ -375,7 +376,7 @@
 	time.AfterFunc(d, func() { h.signal(syscall.SIGCONT) })
 }
 
-// disturbLink harms one link: delay, silence in one direction, reset, or a cut after some bytes.
+// disturbLink disturbs one link: delay, a blocked direction, a reset, or a cut after some bytes.
 func (s *soak) disturbLink() {
 	kinds := []string{
 		`{"name":"x","type":"latency","stream":"%s","attributes":{"latency":150,"jitter":100}}`,
@@ -423,9 +424,8 @@
 	return func(*http.Request) platformtest.Fault { return f }
 }
 
-// sendStrayDatagrams sends datagrams to a host from an address where no daemon runs: torn ones, and beats of a host
-// that claims to know a newer configuration and to carry a lot, and that then falls silent. Questions
-// for its news meet a closed port.
+// sendStrayDatagrams sends datagrams to a host from an address without a daemon: truncated ones, and heartbeats of a host that
+// claims a newer configuration and high usage and then stops. Requests for its updates reach a closed port.
 func (s *soak) sendStrayDatagrams(h *soakHost) {
 	absentHost := s.ip(252)
 	conn, err := net.DialUDP("udp4", &net.UDPAddr{IP: net.ParseIP(absentHost)}, &net.UDPAddr{IP: net.ParseIP(h.ip), Port: platformtest.PeerPort})
@@ -442,7 +442,7 @@
 	}
 }
 
-// replaceBackend puts a new backend server beside one that then drains and leaves, or crashes.
+// replaceBackend adds a backend server and removes another, which drains or crashes.
 func (s *soak) replaceBackend() {
 	old := s.randomBackend()
 	s.addBackend(old.Service)
@@ -458,13 +458,13 @@
 	time.AfterFunc(time.Second, func() { s.store.Remove(old.Key()) })
 }
 
-// evacuateFor asks that a zone's backend servers get nothing for a time.
+// evacuateFor evacuates a zone for a time: its backend servers get no requests.
 func (s *soak) evacuateFor(zone string, d time.Duration) {
 	s.setEvacuated(zone, true)
 	time.AfterFunc(d, func() { s.setEvacuated(zone, false) })
 }
 
-// setEvacuated writes whether a zone is evacuated, and remembers it: what the store loses is written again.
+// setEvacuated stores whether a zone is evacuated, and keeps it so that it can be written again after the store has lost it.
 func (s *soak) setEvacuated(zone string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -480,7 +480,7 @@
 	s.store.Remove("op/evacuate/" + zone)
 }
 
-// replaceWithColdBackend puts a backend server beside one that then leaves; the new one crashes under more requests than it bears.
+// replaceWithColdBackend adds a backend server in cold start, which crashes above its request rate.
 func (s *soak) replaceWithColdBackend() {
 	old := s.randomBackend()
 	b := s.addBackend(old.Service)
@@ -492,8 +492,8 @@
 	s.store.Put(b.Key(), reg)
 }
 
-// restartBackend breaks a backend server's connections and registers it as the next start under its ID; at
-// times a write of the earlier start comes late.
+// restartBackend resets a backend server's connections and registers it as restarted under the same ID. Sometimes a write of
+// the previous start arrives late.
 func (s *soak) restartBackend() {
 	b := s.randomBackend()
 	old := b.Born
@@ -513,7 +513,7 @@
 	}
 }
 
-// overwriteRegistration writes what no backend server writes where one is registered, and lets it register again.
+// overwriteRegistration replaces a registration with an invalid one, and restores it 300 ms later.
 func (s *soak) overwriteRegistration() {
 	b := s.randomBackend()
 	good := b.Registration("ready")
@@ -525,8 +525,8 @@
 	time.AfterFunc(300*time.Millisecond, func() { s.store.Put(b.Key(), good) })
 }
 
-// restoreStore brings the store back from an older copy. The servers and the operator write again what was lost, within two
-// seconds; the leases of those that have left run out.
+// restoreStore restores the store from an older copy. The backend servers and the operator write again what was lost within two
+// seconds; registrations of backend servers that have left expire.
 func (s *soak) restoreStore() {
 	if s.snapshot == nil {
 		return
@@ -555,7 +555,7 @@
 	}
 }
 
-// endFaults ends all faults and waits until every host serves again.
+// endFaults ends all faults and waits until every host serves the newest configuration.
 func (s *soak) endFaults() {
 	s.store.SetFault(nil)
 	s.healLinks()
@@ -568,7 +568,7 @@
 	s.addBackend("web")
 	s.publishConfig()
 	for _, h := range s.hosts {
-		var last atomic.Value // what the host answered
+		var last atomic.Value // the last response of the host
 		last.Store("nothing")
 		served := assert.Eventually(s.t, func() bool {
 			h.signal(syscall.SIGCONT)
@@ -588,12 +588,13 @@
 			return r.err == nil && r.resp.StatusCode == http.StatusOK && r.body == "whole answer of "+id
 		}, waitTimeout, 100*time.Millisecond, "host %s does not serve the newest configuration", h.ip)
 		if !served {
-			s.t.Fatalf("the last answer of %s: %s", h.ip, last.Load())
+			s.t.Fatalf("last response of %s: %s", h.ip, last.Load())
 		}
 	}
 }
 
-// checkInvariants holds what the backend servers ran against what callers sent and were told.
+// checkInvariants checks what the backend servers ran against what callers sent and received, and the failed calls and the logs
+// of all hosts.
 func (s *soak) checkInvariants() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -602,7 +603,7 @@
 		for _, r := range b.Runs() {
 			runs[r.Attempt]++
 			if r.Header.Get("X-Fireflyshift-Credential") != "" || r.Header.Get("X-Fireflyshift-Tenant") != "soak" {
-				s.failures = append(s.failures, r.Attempt+" reached a backend server with a key, or for another workspace")
+				s.failures = append(s.failures, r.Attempt+" reached a backend server with its API key, or for another workspace")
 			}
 		}
 	}
@@ -610,11 +611,11 @@
 		c, known := s.calls[id]
 		switch {
 		case !known:
-			s.failures = append(s.failures, id+" ran and was never sent")
+			s.failures = append(s.failures, id+" ran but was never sent")
 		case c.kind == "once" && n > 1:
 			s.failures = append(s.failures, fmt.Sprintf("%s ran %d times", id, n))
 		case c.kind == "once" && c.refused:
-			s.failures = append(s.failures, id+" was refused as not run, and ran")
+			s.failures = append(s.failures, id+" was refused as not run, but ran")
 		}
 	}
 	for _, h := range s.hosts {
@@ -671,10 +672,10 @@
 		t.Errorf("seed %d: %s", seed, f)
 	}
 	require.Positive(t, s.answered.Load())
-	t.Logf("seed %d: %d tries, %d answered whole, %d broken, excused: %v", seed, len(s.calls), s.answered.Load(), len(s.failedCalls), s.allowedFailures)
+	t.Logf("seed %d: %d attempts, %d answered, %d failed, allowed failures: %v", seed, len(s.calls), s.answered.Load(), len(s.failedCalls), s.allowedFailures)
 }
 
-// TestSoak runs the seeds of CI. FIREFLYSHIFT_SOAK_SEEDS=FROM-TO runs others, by hand.
+// TestSoak runs the CI seeds. FIREFLYSHIFT_SOAK_SEEDS=FROM-TO runs others, three times as long.
 func TestSoak(t *testing.T) { runSeeds(t, soakSeeds, (*soak).injectFault) }
 
 func runSeeds(t *testing.T, seeds []uint64, disturb func(*soak)) {
@@ -682,7 +683,7 @@
 	if v := os.Getenv("FIREFLYSHIFT_SOAK_SEEDS"); v != "" {
 		var from, to uint64
 		_, err := fmt.Sscanf(v, "%d-%d", &from, &to)
-		require.NoError(t, err, "give FROM-TO")
+		require.NoError(t, err, "FIREFLYSHIFT_SOAK_SEEDS must be FROM-TO")
 		seeds, duration = nil, 3*soakDuration
 		for n := from; n <= to; n++ {
 			seeds = append(seeds, n)
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -24,31 +24,31 @@
 )
 
 const (
-	// drainGrace is that of fleet.HostSpec.INI.
+	// drainGrace is the drain grace period that fleet.HostSpec.INI sets.
 	drainGrace = 300 * time.Millisecond
-	// headBytesSent is how many bytes of a head a caller has sent as its host is told to stop.
+	// headBytesSent is how many bytes of the request head a caller has sent when its host is told to stop.
 	headBytesSent = 30
-	// longDeadline is far over what a stopping host may take.
+	// longDeadline in milliseconds is far above the time that a stopping host may take.
 	longDeadline = "600000"
 	notRun       = "not run"
 	mayHaveRun   = "may have run"
 )
 
-// remainderDelays are the times from the end of the drain grace until a caller sends the rest of its request; the host's own
-// limits, 5 s for a head and 10 s for a body, leave room for all.
+// remainderDelays are the delays from the end of the drain grace period until a caller sends the rest of its request. They
+// are well within the host's own timeouts of 5 s for a head and 10 s for a body.
 var remainderDelays = []time.Duration{time.Second, 3 * time.Second}
 
-// rawConn is a caller's rawConn whose bytes the test writes itself.
+// rawConn is a caller's connection on which the test writes the bytes itself.
 type rawConn struct {
 	*net.TCPConn
 	reader *bufio.Reader
 }
 
-// reply is what a caller reads on a connection; err is set where no whole answer came.
+// reply is what a caller reads on a connection. err is set if there was no complete answer.
 type reply struct {
 	status int
 	work   string
-	closes bool // the host says that it closes the connection
+	closes bool // the answer announces that the host closes the connection
 	err    error
 }
 
@@ -59,7 +59,7 @@
 	return &rawConn{conn.(*net.TCPConn), bufio.NewReader(conn)}
 }
 
-// connectReused returns a connection that has had an answer.
+// connectReused returns a connection that has already carried a request and its answer.
 func connectReused(t *testing.T, addr string) *rawConn {
 	c := connect(t, addr)
 	_, err := c.Write([]byte(stockRequest))
@@ -79,7 +79,7 @@
 	return reply{resp.StatusCode, resp.Header.Get("Fireflyshift-Work"), resp.Close, err}
 }
 
-// String leaves addresses out, so that like replies can be counted.
+// String omits addresses, so that equal failures can be counted together.
 func (r reply) String() string {
 	err := r.err
 	if op := (*net.OpError)(nil); errors.As(err, &op) {
@@ -88,7 +88,7 @@
 	return fmt.Sprintf("status %d, work %q, error %v", r.status, r.work, err)
 }
 
-// closedByHost tells that the host has ended its side of the connection, or has sent something unasked.
+// closedByHost reports whether the host has closed its side of the connection or has sent data without a request.
 func (c *rawConn) closedByHost() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -102,7 +102,7 @@
 	return !open
 }
 
-// definitive tells that a caller knows where it stands: a whole answer, or a refusal that says that nothing ran.
+// definitive reports whether the caller knows the outcome: it has a complete answer, or a refusal that states that nothing ran.
 func (r reply) definitive() bool {
 	return r.err == nil && (r.status == http.StatusOK || (r.status >= http.StatusBadRequest && r.work == notRun))
 }
@@ -114,8 +114,8 @@
 
 var stockRequest = plainRequest("GET", "")
 
-// requireAnswersAcrossStop sends the first bytes of requests, tells the host to stop, and sends the rest later. Callers read
-// from the start, so that no answer is lost to them.
+// requireAnswersAcrossStop sends the first bytes of each request, signals the host to stop and sends the rest later, never if
+// its delay is negative. Callers read from the start, so that they miss no answer.
 func requireAnswersAcrossStop(t *testing.T, b *testbed, open func(*testing.T, string) *rawConn, request string, first int, after ...time.Duration) {
 	var callers []*rawConn
 	for range after {
@@ -124,7 +124,7 @@
 		require.NoError(t, err)
 		callers = append(callers, c)
 	}
-	time.Sleep(50 * time.Millisecond) // the host has read them
+	time.Sleep(50 * time.Millisecond) // until the host has read them
 	b.hosts["a1"].Signal(syscall.SIGTERM)
 	replies := make([]reply, len(callers))
 	var wg sync.WaitGroup
@@ -137,7 +137,7 @@
 	}
 	wg.Wait()
 	for i, r := range replies {
-		assert.True(t, r.definitive(), "rest after %s: %s", after[i], r)
+		assert.True(t, r.definitive(), "remainder sent after %s: %s", after[i], r)
 	}
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 	b.requireNoneRanTwice()
@@ -149,24 +149,24 @@
 	return b.start()
 }
 
-// Guards against a stop that closes a new connection while the head of its first request is read.
+// Guards against a stop that closes a new connection while the head of its first request is being read.
 func TestStopAnswersAHeadOnANewConnection(t *testing.T) {
 	requireAnswersAcrossStop(t, newSingleHostBed(t, time.Millisecond), connect, stockRequest, headBytesSent, remainderDelays...)
 }
 
-// Guards against a stop that takes a kept connection for idle while the head of its next request is read.
+// Guards against a stop that treats a keep-alive connection as idle while the head of its next request is being read.
 func TestStopAnswersAHeadOnAKeptConnection(t *testing.T) {
 	requireAnswersAcrossStop(t, newSingleHostBed(t, time.Millisecond), connectReused, stockRequest, headBytesSent, remainderDelays...)
 }
 
-// Guards against a stop that cuts a request whose body is still read; the last caller never sends the rest.
+// Guards against a stop that drops a request whose body is still being read; the last caller never sends the rest.
 func TestStopAnswersABodyThatIsStillRead(t *testing.T) {
 	body := strings.Repeat("x", 4000)
 	request := plainRequest("POST", body)
 	requireAnswersAcrossStop(t, newSingleHostBed(t, time.Millisecond), connectReused, request, len(request)-len(body)/2, append(remainderDelays, -1)...)
 }
 
-// Guards against an end that drops whole requests which arrive on idle connections as these are closed.
+// Guards against a stop that drops complete requests which arrive on idle connections while these are being closed.
 func TestStopDropsNoRequestOnAKeptConnection(t *testing.T) {
 	const callers, rounds = 32, 8
 	b := newTestbed(t, "a1", "a2")
@@ -196,12 +196,12 @@
 		}
 		require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
 	}
-	t.Logf("%d answered, without an answer: %v", answered, lost)
+	t.Logf("%d answered, %v without an answer", answered, lost)
 	require.Empty(t, lost)
 	b.requireNoneRanTwice()
 }
 
-// callUntilClosed sends whole requests, each after a look whether the host has closed the connection.
+// callUntilClosed sends complete requests one after the other, and checks before each whether the host has closed the connection.
 func (c *rawConn) callUntilClosed(replies chan<- reply) {
 	for {
 		time.Sleep(rand.N(4 * time.Millisecond))
@@ -220,17 +220,17 @@
 	}
 }
 
-// Guards against a second signal that cuts connections on which no status was sent.
+// Guards against a second signal that closes connections on which no status was sent.
 func TestSecondSignalAnswersWhoStillWaits(t *testing.T) { requireStatusOnForcedStop(t, true) }
 
-// Guards against a drain limit that cuts connections on which no status was sent.
+// Guards against a drain limit that closes connections on which no status was sent.
 func TestDrainLimitAnswersWhoStillWaits(t *testing.T) { requireStatusOnForcedStop(t, false) }
 
-// requireStatusOnForcedStop stops a host whose backend servers do not answer. What was sent to them may have run; what waits
-// for a place has not.
+// requireStatusOnForcedStop forces a host to stop whose backend servers do not answer. Requests that were sent to them may
+// have run; the request that waits for a slot has not.
 func requireStatusOnForcedStop(t *testing.T, secondSignal bool) {
 	b := newTestbed(t, "a1")
-	b.extraSettings = "limit = 2s\n" // in [drain], which the settings end with
+	b.extraSettings = "limit = 2s\n" // belongs to [drain], the last section of the settings
 	slow := engine.DefaultOptions()
 	slow.Step, slow.Batch = time.Minute, 2
 	b.addEngine("e1", "zone-a", slow)
@@ -275,15 +275,15 @@
 	b.requireNoneRanTwice()
 }
 
-// Guards against a stop that keeps the ticket of a request which never ran: its next try would be refused for ten minutes.
+// Guards against a stop that keeps the ticket claim of a request which never ran: a retry would be refused for ten minutes.
 func TestDrainLimitGivesTheTicketBackOfWhatWaits(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
-	b.extraSettings = "limit = 1s\n" // in [drain], which the settings end with
+	b.extraSettings = "limit = 1s\n" // belongs to [drain], the last section of the settings
 	s := b.addPlainService("git-1", "zone-a", time.Minute)
 	b.platform.PublishRaw(fleet.Backend("git-1", "git", "zone-a", b.backendProxies["git-1"].Listen, 1, "active"))
 	b.start()
 	longCaller := tierCaller("top").WithHeader("Fireflyshift-Deadline-Ms", longDeadline)
-	go longCaller.Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil) // takes the only place
+	go longCaller.Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil) // takes the only slot
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(s.Runs()) == 1 }))
 	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
 	first := make(chan fleet.Response, 1)
@@ -301,7 +301,7 @@
 	b.requireNoneRanTwice()
 }
 
-// Guards against a drain in which a request waits for its whole deadline, since no host schedules its service any more.
+// Guards against a drain in which a request waits for its whole deadline because no host schedules its service any more.
 func TestDrainOfTheOnlyHostAnswersWhatWaits(t *testing.T) {
 	b := newTestbed(t, "a1")
 	o := fastEngine()
@@ -326,7 +326,7 @@
 	b.requireNoneRanTwice()
 }
 
-// Guards against a hangup, as of a closed terminal, that ends the process with requests in flight.
+// Guards against a SIGHUP, as from a closed terminal, that ends the process with requests in flight.
 func TestHangupCutsNoRequest(t *testing.T) {
 	b := newSingleHostBed(t, time.Second)
 	s := b.plainServices["git-1"]
@@ -339,7 +339,8 @@
 	b.requireNoneRanTwice()
 }
 
-// Guards against a ticket of a draining host, which goes with it: its first use elsewhere would be refused as may have run.
+// Guards against a draining host that issues a ticket which is lost with it: its first use at another host would be refused
+// as "may have run".
 func TestTicketOfADrainingHostIsGoodElsewhere(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	s := b.addPlainService("git-1", "zone-a", 2*time.Second)
@@ -350,7 +351,7 @@
 	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return b.status("a1").Draining }))
 	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
 	require.NoError(t, b.hosts["a1"].Wait(waitTimeout))
-	if ticket != "" { // a refusal sends the caller to another host
+	if ticket != "" { // if it is empty, the host refused to issue one
 		a := postWithTicket(t, b.addr("a2"), ticket, "note")
 		require.True(t, a.OK(), "%+v", a)
 	}
--- a/test/surface_test.go
+++ b/test/surface_test.go
@@ -23,7 +23,8 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// Every kind of bad input gets a typed refusal that is true, names the remedy, and runs nothing.
+// Guards against bad input that gets a wrong refusal: each kind must have its own status and kind, name the remedy, state
+// truthfully that nothing ran, and run nothing.
 func TestBadInputs(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.extraSettings = "[limits]\nmax_body_bytes = 2000\n"
@@ -70,7 +71,7 @@
 			a := caller.Do(testCtx(t), "POST", "http://"+host+c.path, []byte(c.body))
 			require.Equal(t, c.status, a.Status, "%+v", a)
 			require.Equal(t, c.kind, a.ErrorKind)
-			require.Contains(t, a.Text, "; ", "the message names the remedy")
+			require.Contains(t, a.Text, "; ", "the message does not name the remedy")
 			if c.kind != "ticket_home_gone" {
 				require.Equal(t, "not run", a.Work)
 			}
@@ -81,12 +82,12 @@
 			}
 		})
 	}
-	require.Len(t, s.Runs(), before, "only the repeat with its ticket ran")
+	require.Len(t, s.Runs(), before, "only the retry with its ticket may have run")
 	require.Empty(t, b.runsByRequest())
 	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, statusForLargeHeader(t, host))
 }
 
-// statusForLargeHeader sends headers over the limit.
+// statusForLargeHeader sends a header over the size limit and returns the status.
 func statusForLargeHeader(t *testing.T, host string) int {
 	req, err := http.NewRequest("GET", "http://"+host+"/services/git/x", nil)
 	require.NoError(t, err)
@@ -97,7 +98,7 @@
 	return resp.StatusCode
 }
 
-// An operator looks for where a request went, and why there.
+// Guards against a request whose history an operator cannot find, and against wrong exit codes of fireflyctl.
 func TestExplain(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	b.addEngine("e1", "zone-a", fastEngine())
@@ -123,7 +124,7 @@
 	require.Equal(t, 1, code)
 }
 
-// An operator checks files before they are published or put on a host.
+// Guards against a checker that accepts invalid records or settings, or whose message names neither the file nor the remedy.
 func TestCheckFiles(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -139,7 +140,7 @@
 		"priority.json": {`{"kind":"tier","name":"top","schema":1,"body":{"priority":99}}`, "give 0 (lowest) to 15"},
 		"field.json":    {`{"kind":"tier","name":"top","schema":1,"body":{"prio":9}}`, "unknown field"},
 		"name.json":     {`{"kind":"tier","name":"Top!","schema":1,"body":{"priority":9}}`, "lower-case letters"},
-		"addr.json":     {`{"kind":"backend","name":"b","schema":1,"body":{"service":"s","zone":"z","addr":"host:80","slots":1}}`, "IP number"},
+		"addr.json":     {`{"kind":"backend","name":"b","schema":1,"body":{"service":"s","zone":"z","addr":"host:80","slots":1}}`, "IP address"},
 		"key.json":      {`{"kind":"workspace","name":"w","schema":2,"body":{"keys":[{"sha256":"plain"}],"grants":{"tiers":["a"]}}}`, "SHA-256"},
 		"schema.json":   {`{"kind":"workspace","name":"w","schema":7,"body":{}}`, "use schema 1 or 2"},
 		"policy.json":   {`{"kind":"service","name":"w","schema":1,"body":{"kind":"plain","policy":"best"}}`, "round-robin"},
@@ -153,14 +154,14 @@
 		out, code := runCtl("check", write(name, c.text))
 		require.Equal(t, 1, code, "%s: %s", name, out)
 		require.Contains(t, out, c.want, name)
-		require.Contains(t, out, name, "the file is named")
+		require.Contains(t, out, name, "the message does not name the file")
 	}
 	out, code = runCtl("check", filepath.Join(dir, "absent.json"))
 	require.Equal(t, 1, code, out)
 }
 
-// A request crosses three hops: caller to host, host to the scheduling host, host to the engine.
-// On call, one has to see all of them in one trace.
+// Guards against a trace that falls apart: the spans from caller to host, from host to scheduler and from host to engine must
+// all have the caller's trace ID.
 func TestOneTraceOverAllHops(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	b.extraSettings = "[traces]\nexporter = stdout\n"
@@ -186,8 +187,8 @@
 	return regexp.MustCompile(`"Name":"` + regexp.QuoteMeta(name) + `","SpanContext":\{"TraceID":"` + trace)
 }
 
-// Hosts prove themselves to each other. A process without a certificate of ours reaches the peer
-// port; it must learn nothing and change nothing, while hosts with one work together.
+// Guards against a process without a certificate of the trusted CA that takes part at the peer port, while hosts that have one
+// work together.
 func TestPeersWithoutOurCertificateGetNothing(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "a3")
 	trustedCA, untrustedCA := newTestCA(t), newTestCA(t)
@@ -214,7 +215,7 @@
 	require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.addr("a2"), "git", "x", nil).OK())
 }
 
-// testCA signs test certificates.
+// testCA issues test certificates.
 type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -232,7 +233,7 @@
 	return &testCA{cert, key}
 }
 
-// tlsSettings writes a certificate for a host and returns the INI text that names it.
+// tlsSettings issues a certificate to a host, writes its files and returns the INI section that names them.
 func (a *testCA) tlsSettings(t *testing.T, dir, id string) string {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -18,8 +18,8 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// All engines write long listing tags when a push check's hint is asked for at the end of a lesson.
-// The class would wait for a tag to end; instead a tag is suspended, and still gets all its text.
+// Guards against an urgent request that waits for a slot while all engines run long requests of a low tier. One of these must
+// be suspended for it, and still complete with all its text.
 func TestUrgentWorkDisplacesAndTheDisplacedWorkIsWhole(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	o := fastEngine()
@@ -47,7 +47,7 @@
 	for _, e := range b.engines {
 		suspended += e.Stats().Suspended
 	}
-	require.Positive(t, suspended, "the urgent request waited for a natural slot")
+	require.Positive(t, suspended, "no request was suspended for the urgent one")
 	for i := 0; i < 4; i++ {
 		answer := <-low
 		require.True(t, answer.OK(), "%+v", answer.Err)
@@ -55,8 +55,8 @@
 	b.requireNoneRanTwice()
 }
 
-// A burst of three times the capacity, over all tiers, at the end of a lesson. Work of the top tier
-// must all be answered; what is shed is shed from the bottom, at once, with a time to come back.
+// Guards against load shedding that hits urgent requests: a burst over all tiers arrives at three times the capacity. All
+// requests of the top tier must be answered, and what is refused as not run must have a retry delay.
 func TestBurstShedsFromTheBottom(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	o := fastEngine()
@@ -90,13 +90,13 @@
 			require.Zero(t, b.runsByRequest()[r.RequestID])
 		}
 	}
-	require.Equal(t, 60, answered["top"], "whole %v, refused %v", answered, refused)
+	require.Equal(t, 60, answered["top"], "answered %v, refused %v", answered, refused)
 	require.GreaterOrEqual(t, answered["mid"], answered["low"])
 	b.requireNoneRanTwice()
 }
 
-// The host that schedules the engines dies in the middle of a burst. Callers of other hosts must
-// all get an answer: their streams go on, what waits moves to the next scheduler.
+// Guards against requests lost with the scheduler: its host dies in the middle of a burst. Streams through other hosts must
+// continue, and waiting requests must move to the next scheduler.
 func TestSchedulerDiesInTheMiddleOfABurst(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "a3")
 	b.addEngine("e1", "zone-a", fastEngine())
@@ -123,8 +123,8 @@
 	b.requireNoneRanTwice()
 }
 
-// Thousands of callers return at once after an outage. The host must answer each at once, with
-// bounded memory, and serve again as if nothing had been.
+// Guards against a host that runs out of memory or stalls when thousands of callers return at once after an outage: each must
+// get an answer or a refusal, and the host must serve normally afterwards.
 func TestThunderingReturnOfCallers(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.extraSettings = "[limits]\nmax_requests = 200\n"
@@ -169,8 +169,7 @@
 	return 0
 }
 
-// Callers with broken clients open connections and send bodies byte by byte, or never. Others must
-// not wait for them, and each of them is told what was wrong.
+// Guards against slow callers that hold up others: their bodies never complete, and each must be refused with the reason.
 func TestSlowCallersCostOthersNothing(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.extraSettings = "[limits]\nbody_timeout = 500ms\nmax_requests = 10\n"
@@ -189,7 +188,7 @@
 	}
 }
 
-// sendHalfBody sends half a body, then waits for what the host says.
+// sendHalfBody sends an incomplete body and returns what the host sends back.
 func sendHalfBody(addr string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -202,7 +201,7 @@
 	return string(data)
 }
 
-// A caller goes away while its request waits or runs. Its slot must go to others soon.
+// Guards against a slot that stays taken after its caller has disconnected.
 func TestCallerWhoLeavesGivesItsSlotBack(t *testing.T) {
 	b := newTestbed(t, "a1")
 	o := fastEngine()
@@ -220,8 +219,8 @@
 	b.requireNoneRanTwice()
 }
 
-// A workspace is over its published rate. It is refused at once with a time to come back, and the
-// other workspaces do not notice.
+// Guards against a rate limit that affects others: a workspace over its rate is refused with a retry delay, and other
+// workspaces are served.
 func TestWorkspaceOverItsRate(t *testing.T) {
 	b := newTestbed(t, "a1")
 	b.addPlainService("git-1", "zone-a", time.Millisecond)
