--- a/test/surface_test.go
+++ b/test/surface_test.go
@@ -140,7 +140,7 @@
 		"priority.json": {`{"kind":"tier","name":"top","schema":1,"body":{"priority":99}}`, "give 0 (lowest) to 15"},
 		"field.json":    {`{"kind":"tier","name":"top","schema":1,"body":{"prio":9}}`, "unknown field"},
 		"name.json":     {`{"kind":"tier","name":"Top!","schema":1,"body":{"priority":9}}`, "lower-case letters"},
-		"addr.json":     {`{"kind":"backend","name":"b","schema":1,"body":{"service":"s","zone":"z","addr":"host:80","slots":1}}`, "IP address"},
+		"addr.json":     {`{"kind":"backend","name":"b","schema":1,"body":{"service":"s","zone":"z","addr":"host:80","slots":1}}`, "give an IP address and a port"},
 		"key.json":      {`{"kind":"workspace","name":"w","schema":2,"body":{"keys":[{"sha256":"plain"}],"grants":{"tiers":["a"]}}}`, "SHA-256"},
 		"schema.json":   {`{"kind":"workspace","name":"w","schema":7,"body":{}}`, "use schema 1 or 2"},
 		"policy.json":   {`{"kind":"service","name":"w","schema":1,"body":{"kind":"plain","policy":"best"}}`, "round-robin"},
