--- a/test/bed_test.go
+++ b/test/bed_test.go
@@ -292,7 +292,7 @@
 	return c
 }
 
-// expectedAnswer is the complete answer that any fake engine gives to a prompt.
+// fullAnswer is the complete answer that any fake engine gives to a prompt.
 func fullAnswer(prompt string, tokens int) string { return engine.Answer("user\n"+prompt+"\n", tokens) }
 
 func (b *testbed) runsByRequest() map[string]int {
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -67,15 +67,15 @@
 	time.Sleep(after)
 	b.hosts[pausedHost].Signal(syscall.SIGSTOP)
 	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.backendProxies["e1"].Listen, 8, "leaving"))
-	bound := time.Now().Add(leaveTimeLimit)
-	time.Sleep(time.Until(bound))
+	deadline := time.Now().Add(leaveTimeLimit)
+	time.Sleep(time.Until(deadline))
 	b.hosts[pausedHost].Signal(syscall.SIGCONT)
 	require.True(b.t, fleet.WaitUntil(waitTimeout, ranMore("e2", 40)))
 	late := 0
 	for id, at := range b.engines["e1"].Stats().StartedAt {
-		if at.After(bound) {
+		if at.After(deadline) {
 			late++
-			b.logLateRequest(pausedHost, id, at, bound)
+			b.logLateRequest(pausedHost, id, at, deadline)
 		}
 	}
 	b.engines["e1"].ResetStats()
@@ -84,9 +84,9 @@
 }
 
 // logLateRequest logs what the paused host recorded about a request that was begun too late.
-func (b *testbed) logLateRequest(pausedHost, id string, at, bound time.Time) {
+func (b *testbed) logLateRequest(pausedHost, id string, at, deadline time.Time) {
 	_, trace, err := fleet.Get("http://" + b.hostSpecs[pausedHost].Admin + "/explain/" + id)
-	b.t.Logf("%s began at %s, %s after the time limit (%v)\n%s", id, at.UTC().Format("15:04:05.000000"), at.Sub(bound), err, trace)
+	b.t.Logf("%s began at %s, %s after the time limit (%v)\n%s", id, at.UTC().Format("15:04:05.000000"), at.Sub(deadline), err, trace)
 	for _, line := range strings.Split(b.hosts[pausedHost].Log.String(), "\n") {
 		if strings.Contains(line, id) || strings.Contains(line, "paused") || strings.Contains(line, "Configuration activated") {
 			b.t.Log(line)
--- a/test/soak_callers_test.go
+++ b/test/soak_callers_test.go
@@ -24,8 +24,8 @@
 // Nothing is required of a process that was killed, or was paused when its grace period ended.
 
 const (
-	// soakBalancerDelay is how long after a host reports not ready the platform's load balancer may still send it connections.
-	// A connection that is opened later reaches a host that may end at any moment.
+	// soakBalancerDelay is how long after a host's stop signal the platform's load balancer may still send it connections. A
+	// connection that is opened later reaches a host that may end at any moment.
 	soakBalancerDelay = 2500 * time.Millisecond
 	// cutsAllowedAfter is how long after its stop signal a host may cut answers: its grace period less the time that its exit
 	// takes.
@@ -191,13 +191,13 @@
 	case resp.StatusCode != http.StatusOK:
 		return
 	case resp.Header.Get("X-Fireflyshift-Attempt-Id") != id:
-		s.fail("%s got the answer of %s", id, resp.Header.Get("X-Fireflyshift-Attempt-Id"))
+		s.addFailure("%s got the answer of %s", id, resp.Header.Get("X-Fireflyshift-Attempt-Id"))
 	case kind == "stream" && err == nil && body != platformtest.Stream(0, soakEvents):
-		s.fail("%s got a complete stream with the wrong content: %q", id, body)
+		s.addFailure("%s got a complete stream with the wrong content: %q", id, body)
 	case kind == "stream" && !strings.HasPrefix(platformtest.Stream(0, soakEvents), body):
-		s.fail("%s got a stream with a gap or a repeat: %q", id, body)
+		s.addFailure("%s got a stream with a gap or a repeat: %q", id, body)
 	case kind != "stream" && err == nil && body != "whole answer of "+id:
-		s.fail("%s got %q", id, body)
+		s.addFailure("%s got %q", id, body)
 	}
 	if err == nil {
 		s.answered.Add(1)
--- a/test/soak_test.go
+++ b/test/soak_test.go
@@ -271,7 +271,7 @@
 	}
 }
 
-func (s *soak) fail(format string, args ...any) {
+func (s *soak) addFailure(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.failures = append(s.failures, fmt.Sprintf(format, args...))
@@ -310,8 +310,8 @@
 	case 13:
 		s.overwriteRegistration()
 	case 14:
-		copied := s.store.Snapshot()
-		s.snapshot = &copied
+		snapshot := s.store.Snapshot()
+		s.snapshot = &snapshot
 	case 15, 16:
 		s.restoreStore()
 	case 17:
@@ -355,14 +355,14 @@
 		h.signal(sig)
 	}
 	kill := time.AfterFunc((soakGraceSeconds+2)*time.Second, func() {
-		s.fail("a stopped host was still running after its grace period")
+		s.addFailure("a stopped host was still running after its grace period")
 		h.kill()
 	})
 	err := h.wait()
 	kill.Stop()
 	// A process that has just been started may die of the signal; it serves no callers yet.
 	if sig == syscall.SIGTERM && err != nil && h.uptime() > 5*time.Second {
-		s.fail("a stopped host exited with %v", err)
+		s.addFailure("a stopped host exited with %v", err)
 	}
 }
 
@@ -516,13 +516,13 @@
 // overwriteRegistration replaces a registration with an invalid one, and restores it 300 ms later.
 func (s *soak) overwriteRegistration() {
 	b := s.randomBackend()
-	good := b.Registration("ready")
+	valid := b.Registration("ready")
 	s.mu.Lock()
-	good["address"] = s.proxyAddr[b.ID]
+	valid["address"] = s.proxyAddr[b.ID]
 	s.mu.Unlock()
-	bad := []any{[]byte("\xff"), []byte("{}"), []byte("null"), map[string]any{"service": "web", "address": s.ip(253) + ":1", "state": "ready"}}
-	s.store.Put(b.Key(), bad[s.rng.IntN(len(bad))])
-	time.AfterFunc(300*time.Millisecond, func() { s.store.Put(b.Key(), good) })
+	invalid := []any{[]byte("\xff"), []byte("{}"), []byte("null"), map[string]any{"service": "web", "address": s.ip(253) + ":1", "state": "ready"}}
+	s.store.Put(b.Key(), invalid[s.rng.IntN(len(invalid))])
+	time.AfterFunc(300*time.Millisecond, func() { s.store.Put(b.Key(), valid) })
 }
 
 // restoreStore restores the store from an older copy. The backend servers and the operator write again what was lost within two
@@ -544,9 +544,9 @@
 		reg["address"] = s.proxyAddr[b.ID]
 		time.AfterFunc(time.Duration(s.rng.IntN(2000))*time.Millisecond, func() {
 			s.mu.Lock()
-			gone := s.removed[b.ID]
+			removed := s.removed[b.ID]
 			s.mu.Unlock()
-			if gone {
+			if removed {
 				s.store.Remove(b.Key())
 				return
 			}
@@ -637,7 +637,7 @@
 	}
 }
 
-func runSoak(t *testing.T, seed uint64, duration time.Duration, disturb func(*soak)) {
+func runSoak(t *testing.T, seed uint64, duration time.Duration, step func(*soak)) {
 	s := newSoak(t, seed)
 	s.endFaults()
 	stop := make(chan struct{})
@@ -660,7 +660,7 @@
 		}()
 	}
 	for end := time.Now().Add(duration); time.Now().Before(end); {
-		disturb(s)
+		step(s)
 		time.Sleep(time.Duration(50+s.rng.IntN(300)) * time.Millisecond)
 	}
 	s.stops.Wait()
@@ -678,7 +678,7 @@
 // TestSoak runs the CI seeds. FIREFLYSHIFT_SOAK_SEEDS=FROM-TO runs others, three times as long.
 func TestSoak(t *testing.T) { runSeeds(t, soakSeeds, (*soak).injectFault) }
 
-func runSeeds(t *testing.T, seeds []uint64, disturb func(*soak)) {
+func runSeeds(t *testing.T, seeds []uint64, step func(*soak)) {
 	duration := soakDuration
 	if v := os.Getenv("FIREFLYSHIFT_SOAK_SEEDS"); v != "" {
 		var from, to uint64
@@ -690,6 +690,6 @@
 		}
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed, duration, disturb) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSoak(t, seed, duration, step) })
 	}
 }
