--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -25,9 +25,10 @@
 
 // Guards against requests sent to a leaving engine by a host that resumes after a pause of four seconds, in which the engine
 // began to leave. The host's timer fired before it had read a socket, so it took all its peers for dead, became scheduler of
-// the group itself and granted itself slots on the leaving engine. The log then had "Dispatch." with backend=e1, the resumed
-// host as scheduler, granted_ago_ms of 3 to 27 and lease_left_ms of 1,971 to 1,995, right after "The process was paused.".
-// Each request's trace showed a slot request to the host itself after one to the real scheduler.
+// the group itself, granted itself slots on the leaving engine and sent up to a full window of requests there. The log then
+// had "Dispatch." with backend=e1, the resumed host as scheduler, granted_ago_ms of 3 to 27 and lease_left_ms of 1,971 to
+// 1,995, right after "The process was paused.". Each request's trace showed a slot request to the host itself after one to
+// the real scheduler.
 func TestWokenHostSendsNothingToALeavingServer(t *testing.T) {
 	for _, role := range []string{"entry", "scheduler"} {
 		t.Run(role, func(t *testing.T) {
