--- a/internal/sched/backend.go
+++ b/internal/sched/backend.go
@@ -11,12 +11,12 @@
 	initialInterval  = 10 * time.Millisecond  // between tokens
 	initialPrefill   = 200 * time.Microsecond // per uncached prompt token
 	ewmaGain         = 0.2
-	slowFactor       = 1.6 // interval relative to the best interval from which on the window shrinks
+	slowFactor       = 1.6 // the window shrinks if an interval exceeds this multiple of the best one
 	windowDecrease   = 0.85
 	baselineDrift    = 1.001 // growth per sample, so that the best interval follows a lasting change
 	minCoolDown      = 500 * time.Millisecond
 	maxCoolDown      = 10 * time.Second
-	minPrefillSample = 128 // uncached tokens from which on a sample counts for prefill
+	minPrefillSample = 128 // fewest uncached tokens that update prefill; fewer update cachedFirstToken
 	tokensPerBlock   = 64  // tokens in the shortest prefix that an entry host hashes
 )
 
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -60,7 +60,7 @@
 // SetService applies a changed service record.
 func (g *Group) SetService(s record.Service) { g.service = s }
 
-// SetTiers applies the tiers in force and computes the slots that they reserve.
+// SetTiers applies the active tiers and computes the slots that they reserve.
 func (g *Group) SetTiers(tiers []*record.Tier) {
 	g.reservePercent = [NumPriorities]int{}
 	for _, t := range tiers {
@@ -70,7 +70,7 @@
 	}
 }
 
-// SetBackends applies the backend servers in force. A removed server keeps its runs until they end.
+// SetBackends applies the active backend server records. A removed server keeps its runs until they end.
 func (g *Group) SetBackends(now time.Duration, specs []record.Backend) []Decision {
 	present := map[string]bool{}
 	for _, s := range specs {
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -120,7 +120,7 @@
 	// PreemptAfter is how long a request waits for a slot before runs of a lower priority are preempted
 	// for it.
 	PreemptAfter time.Duration
-	// PreemptTimeout is when an unanswered preemption no longer counts as a slot about to become free.
+	// PreemptTimeout is how long an unanswered preemption counts as a slot about to become free.
 	PreemptTimeout time.Duration
 	// QueuePerSlot is the queue bound per slot of the group.
 	QueuePerSlot int
@@ -128,7 +128,7 @@
 	MinQueue int
 	// OrphanGrace is how long the runs of a lost entry host keep their slots: their streams may still run.
 	OrphanGrace time.Duration
-	// UnconfirmedTimeout is when a run is freed that its entry host has not confirmed.
+	// UnconfirmedTimeout is how long a run keeps its slot without confirmation by its entry host.
 	UnconfirmedTimeout time.Duration
 	// SettleTimeout is how long a new scheduler waits for holdings before it grants.
 	SettleTimeout time.Duration
