--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// minPause is the gap between two events from which on the gap is not counted as missed heartbeats of
-	// other hosts. Ticks come at least every IdleTickInterval. A shorter gap may be due to a busy machine,
-	// and excluding it would only delay the detection of dead hosts.
+	// minPause is the shortest gap between two events that counts as a pause of this process; a pause is
+	// excluded from the time without heartbeats of other hosts. Ticks come at least every IdleTickInterval.
+	// A shorter gap may be due to a busy machine, and excluding it would only delay the detection of dead
+	// hosts.
 	minPause = 200 * time.Millisecond
-	// minCatchUpPause is the gap from which on this host catches up before it acts. A shorter pause adds
-	// its length to the age of the state that the host dispatches on: with twice this value and a lease of
-	// 2 s, a leaving backend server got work after the allowed time.
+	// minCatchUpPause is the shortest pause after which this host catches up before it acts. A shorter
+	// pause adds its length to the age of the state that the host dispatches on: with twice this value and
+	// a lease of 2 s, a leaving backend server got requests after the allowed time.
 	minCatchUpPause = time.Second
 	// catchUpTimeout limits the catch-up, since callers wait for it and a host that is cut off from all
 	// others and from the platform has to continue with what it knows. The answers of the platform and of
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -230,7 +230,7 @@
 
 func (c *Core) nowMS() uint64 { return uint64(c.now / time.Millisecond) }
 
-// Config returns the configuration in force. It may be used on the control goroutine only.
+// Config returns the active configuration. It may be used on the control thread only.
 func (c *Core) Config() *confstate.State { return c.conf }
 
 // Violations returns the invariant violations since the last call.
@@ -243,7 +243,7 @@
 // Requests returns the number of callers' requests that this host holds.
 func (c *Core) Requests() int { return len(c.entry.requests) }
 
-// usable looks up a backend server that may get new requests from this host: it is in force and not leaving.
+// usable looks up a backend server that may get new requests from this host: its record is active and it is not leaving.
 func (c *Core) usable(name string) (record.Backend, bool) {
 	b := c.conf.Backend(name)
 	if b == nil || b.Leaving || c.leaving[b.Addr] {
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -69,7 +69,7 @@
 	heapIndex      int
 	trace          []TraceEvent
 	// onTrial reports that the request runs although it is in quarantine, to find out whether it still
-	// ends backend servers.
+	// crashes backend servers.
 	onTrial bool
 }
 
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -173,7 +173,7 @@
 	Fault *fault.Error
 }
 
-// ConfigChanged reports that the configuration in force has changed.
+// ConfigChanged reports that the active configuration has changed.
 type ConfigChanged struct{}
 
 // ReadPlatform turns the watch of the configuration service on or off. The watch starts after the revision
--- a/internal/core/guards_test.go
+++ b/internal/core/guards_test.go
@@ -352,7 +352,7 @@
 }
 
 // Guards against a lost push of records. The peer's heartbeat shows a different digest; the host must pull
-// what it lacks, or the change would not be in force here while the platform is down.
+// what it lacks, or the change would not be active here while the platform is down.
 func TestLostRecordIsAskedFor(t *testing.T) {
 	l := newSingleHost(t)
 	out := l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -35,7 +35,7 @@
 	Suspects    int                `json:"suspects,omitempty"`
 }
 
-// QuarantineStatus is a request that is kept from backend servers because it has ended several of them.
+// QuarantineStatus is a request that is kept from backend servers because it has crashed several of them.
 type QuarantineStatus struct {
 	Digest      string `json:"digest"`
 	Workspace   string `json:"workspace"`
@@ -75,7 +75,7 @@
 	Backends []sched.BackendStatus `json:"backends"`
 }
 
-// Refused is a published record that this host refuses, with the reason and the revision that is in force
+// Refused is a published record that this host refuses, with the reason and the revision that is active
 // instead.
 type Refused struct {
 	Record   string `json:"record"`
--- a/internal/core/suspects.go
+++ b/internal/core/suspects.go
@@ -34,7 +34,7 @@
 	return suspectState{ledger: quarantine.NewLedgerForReusedNames(sameEndWindow)}
 }
 
-// recordOutcome records what the end of a dispatch shows about the request itself. If backend servers end
+// recordOutcome records what the end of a dispatch shows about the request itself. If backend servers crash
 // one after the other while they run the same request, the request is most likely the cause, and its
 // callers repeat it at any host.
 func (c *Core) recordOutcome(r *request, e DispatchEnded) {
@@ -59,7 +59,7 @@
 	return fault.New(fault.Quarantined, "request %s has ended %d backend servers", r.Digest, len(found.Ends)).WithRetryAfter(max(time.Second, found.TrialAt()-c.now))
 }
 
-// allowTrial reports whether a new request in quarantine may run to find out whether it still ends backend
+// allowTrial reports whether a new request in quarantine may run to find out whether it still crashes backend
 // servers. One host of the fleet lets it run now and then; otherwise a harmless request would be refused
 // for a day.
 func (c *Core) allowTrial(d quarantine.Digest) bool {
--- a/internal/core/suspects_test.go
+++ b/internal/core/suspects_test.go
@@ -37,7 +37,7 @@
 	return w
 }
 
-// Guards against a deadly request that keeps ending backend servers. It comes to hosts of two zones in
+// Guards against a deadly request that keeps crashing backend servers. It comes to hosts of two zones in
 // turn, so that no host sees more than one end at first. Once three ends are known, all hosts refuse it,
 // truly as not run, also one that was replaced meanwhile. After a minute one host lets it run once as a
 // trial.
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -38,7 +38,7 @@
 	steps         int
 	faults        int
 	sheds         int
-	// deadly requests end the backend servers that run them, which restart at once; deadlyRuns counts
+	// deadly requests crash the backend servers that run them, which restart at once; deadlyRuns counts
 	// these runs.
 	deadly     map[string]bool
 	deadlyRuns int
@@ -244,7 +244,7 @@
 	}
 }
 
-// checkRevisions asserts that no record in force goes back to an older revision.
+// checkRevisions asserts that no active record goes back to an older revision.
 func (w *world) checkRevisions(h *fakeHost) {
 	for _, r := range h.core.Config().After(0) {
 		if r.Revision < h.revision[r.Key()] {
@@ -415,7 +415,7 @@
 	return readers == 0
 }
 
-// checkInForce asserts that a change is in force on every host within the time limit, even if only one
+// checkInForce asserts that a change is active on every host within the time limit, even if only one
 // host can read the platform.
 func (w *world) checkInForce() {
 	for _, p := range w.history {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -1,5 +1,5 @@
-// Package daemon assembles fireflyshiftd: a control thread that owns the reducer, the servers and the
-// links to other hosts.
+// Package daemon assembles fireflyshiftd from the control thread (a single goroutine that owns the
+// reducer), the servers for callers, peers and operators, and the links to other hosts.
 package daemon
 
 import (
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -271,7 +271,7 @@
 
 // Explain implements admin.Source.
 func (d *Daemon) Explain(id string) ([]core.TraceEvent, bool) {
-	var trail []core.TraceEvent
-	ok := d.control.query(queryTimeout, func(c *core.Core) { trail = append(trail, c.RequestTrace(id)...) })
-	return trail, ok
+	var events []core.TraceEvent
+	ok := d.control.query(queryTimeout, func(c *core.Core) { events = append(events, c.RequestTrace(id)...) })
+	return events, ok
 }
