--- a/internal/quarantine/blame.go
+++ b/internal/quarantine/blame.go
@@ -7,7 +7,8 @@
 
 // assignBlame blames the fewest requests that explain the ends: first the one that was in flight at most of them, the
 // next by what that leaves unexplained. A bystander that was in flight together with the cause at all ends so far is
-// released as soon as an end occurs with only one of them in flight; until then, digest order decides between equals.
+// released as soon as an end occurs with the cause in flight and without the bystander; until then, digest order
+// decides between equals.
 //
 // It runs on the control thread, and callers can fill the ledger. Except for choosing the next cause, its work is
 // proportional to the number of ends.
