--- a/internal/ingress/connections.go
+++ b/internal/ingress/connections.go
@@ -237,8 +237,8 @@
 	return false
 }
 
-// admission rejects requests that arrive after TryStop has succeeded, or whose connection is closing, so that no one
-// waits for their answer.
+// admission rejects requests that arrive after TryStop has succeeded, or whose connection is closing: no one waits for
+// the answer to such a request, so it must not run.
 func (c *Connections) admission(next, reject http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		k, _ := r.Context().Value(connKey{}).(*conn)
