--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -223,7 +223,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// send sends a datagram to hosts, paced if it would overload the host's link.
+// send sends a datagram to hosts, through the pacer if it is large and goes to more than maxUnpacedHosts.
 func (n *Node) send(to []string, p *gossippb.Packet) {
 	if len(to) > maxUnpacedHosts {
 		if size := proto.Size(p); n.pacer.ShouldPace(len(to), size) {
