--- a/internal/bound/report.go
+++ b/internal/bound/report.go
@@ -158,10 +158,10 @@
 const (
 	// outputWeight is the weight of an output token relative to a prompt token.
 	outputWeight = 10
-	// fixedWeight is the part of a request's weight that does not depend on its size. maxSizeRatio bounds the
-	// weight factor of large requests.
-	fixedWeight  = 0.3
-	maxSizeRatio = 4
+	// fixedWeight is the part of a request's weight that does not depend on its size. maxSizeFactor bounds the
+	// factor by which size changes a weight.
+	fixedWeight   = 0.3
+	maxSizeFactor = 4
 )
 
 func meanSizes(list []Request) map[string]float64 {
@@ -182,7 +182,7 @@
 		s.Weight = w
 	}
 	if opt.BySize && mean > 0 {
-		s.Weight *= min(maxSizeRatio, fixedWeight+(1-fixedWeight)*size(q)/mean)
+		s.Weight *= min(maxSizeFactor, fixedWeight+(1-fixedWeight)*size(q)/mean)
 	}
 	switch {
 	case q.Outcome == "answered" && q.Late == "":
