--- a/internal/core/catchup_test.go
+++ b/internal/core/catchup_test.go
@@ -18,7 +18,7 @@
 // server b0 out. The timer fires before the process has read a socket. By its clock no host has sent a
 // heartbeat for 4 s, so it would schedule the group itself and dispatch, with a fresh lease, to a server
 // that has been leaving for 4 s.
-func TestWokenHostDoesNotTakeOthersForDead(t *testing.T) {
+func TestResumedHostDoesNotConsiderOthersDead(t *testing.T) {
 	l := newSingleHost(t)
 	l.submit("r")
 	l.now += 4 * time.Second
@@ -74,7 +74,7 @@
 // Guards against a grant from out-of-date state. A scheduler is paused, others take its groups, and an
 // operator takes a server out. After the pause a caller's request comes before any message; by the old
 // state the server has a free slot.
-func TestWokenSchedulerGrantsNothingBeforeTheNews(t *testing.T) {
+func TestResumedSchedulerGrantsNothingBeforeItCaughtUp(t *testing.T) {
 	l := resumedScheduler(t)
 	require.False(t, l.isServed("after"))
 }
@@ -83,7 +83,7 @@
 // before the pause a heartbeat that was sent after a message of this host since the pause and whose
 // configuration this host has. A heartbeat that waited in a socket during the pause, one from a host that
 // is itself catching up, and one that announces newer records do not count.
-func TestWhatProvesThatTheNewsIsIn(t *testing.T) {
+func TestCatchUpEndsOnlyWithFreshHeartbeats(t *testing.T) {
 	hosts := core.HostList{Hosts: []core.ListedHost{{Host: member.Host{ID: "peer", Zone: "z", Addr: "p"}}}}
 	for _, c := range []struct {
 		name       string
@@ -112,7 +112,7 @@
 
 // Guards against a host that waits without end for answers after a pause. It is cut off or alone, and
 // serves what it can after catchUpTimeout.
-func TestWokenHostThatNobodyAnswersGoesOn(t *testing.T) {
+func TestResumedHostWithoutAnswersEndsItsCatchUp(t *testing.T) {
 	l := resumedScheduler(t)
 	require.False(t, l.isServed("after"))
 	l.now += 500 * time.Millisecond
@@ -149,7 +149,7 @@
 // Guards against two hosts that catch up at the same time and answer each other's heartbeats without end:
 // each answer reported that its sender was catching up and so was answered in turn, as fast as the network
 // allowed.
-func TestTwoWokenHostsDoNotAnswerEachOther(t *testing.T) {
+func TestTwoResumedHostsDoNotAnswerEachOther(t *testing.T) {
 	l := resumedScheduler(t)
 	l.feed(core.Tick{})
 	out := l.message(&peerpb.Message{Body: &peerpb.Message_Heartbeat{Heartbeat: &peerpb.Heartbeat{
--- a/internal/core/guards_test.go
+++ b/internal/core/guards_test.go
@@ -114,7 +114,7 @@
 
 // Guards against a dispatch to a leaving server. The scheduler sends a grant just before it learns that
 // the server leaves; this host knows already.
-func TestGrantThatCrossedTheNewsOfLeavingIsNotUsed(t *testing.T) {
+func TestGrantSentBeforeTheSchedulerLearnsOfLeavingIsNotUsed(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
 	l.feed(core.PlatformRecords{Records: []record.Raw{backendRecord("b0", 3, "leaving")}, Current: true})
@@ -322,7 +322,7 @@
 
 // Guards against a late, repeated report of an old attempt. The dispatch was proved not sent and the
 // request waits again; the caller would get an answer that no server gave.
-func TestLateWordOnAnOldAttemptChangesNothing(t *testing.T) {
+func TestLateReportOfAnOldAttemptChangesNothing(t *testing.T) {
 	l := newSingleHost(t)
 	a := l.submit("r")
 	require.Len(t, dispatches(l.grant(a, "b0", l.now, selfIncarnation)), 1)
@@ -333,7 +333,7 @@
 
 // Guards against a zone whose readers are cut off from the platform. While no host reports that it reaches
 // the platform, every host has to try within seconds and not only in its turn.
-func TestHostReadsWhenNobodyElseDoes(t *testing.T) {
+func TestHostReadsThePlatformWhenNoOtherHostDoes(t *testing.T) {
 	l := newSingleHost(t)
 	others := nonReaderPeers()
 	l.heartbeatsFrom(others, true)
--- a/internal/core/stop_test.go
+++ b/internal/core/stop_test.go
@@ -24,7 +24,7 @@
 
 // Guards against a host that stops without answering its callers, with an answer that is not true, or
 // without releasing their slots and tickets.
-func TestStopEndsEveryRequestTruly(t *testing.T) {
+func TestStopAnswersEveryRequestCorrectly(t *testing.T) {
 	l := newSingleHost(t)
 	require.Len(t, dispatches(l.grant(l.submit("runs"), "b0", l.now, selfIncarnation)), 1)
 	l.submit("waits")
--- a/internal/core/suspects_test.go
+++ b/internal/core/suspects_test.go
@@ -71,7 +71,7 @@
 
 // Guards against dispatching a request that is quarantined while it waits for a slot: its grant must not
 // be used, and is released.
-func TestWaitingRequestIsFoundOut(t *testing.T) {
+func TestRequestQuarantinedWhileItWaitsIsNotDispatched(t *testing.T) {
 	l := newSingleHost(t)
 	effects := l.feed(core.Submit{ID: "r", Workspace: "w", Service: service, Priority: 1, Deadline: time.Minute, OutputTokens: 1, Digest: deadly})
 	var a *peerpb.Acquire
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -21,7 +21,7 @@
 	quarantineTests     = []string{"./internal/quarantine", "-rapid.shrinktime=1s"}
 	suspectTests        = []string{"./internal/router", "-run", "Deadly|Suspects|Quarantin|OnlyEnds|LeavingEngine|LapsedEngine|CutAddUp|Rack"}
 	announcementTests   = []string{"./internal/router", "-run", "Leaving|Away|UnlikeTimes"}
-	coreSuspectTests    = []string{"./internal/core", "-run", "Deadly|FoundOut"}
+	coreSuspectTests    = []string{"./internal/core", "-run", "Deadly|QuarantinedWhile"}
 	coldTests           = []string{"./internal/router", "-run", "Cold|BackAtOnce|CutOffRush", "-rapid.shrinktime=1s"}
 	evacuationTests     = []string{"./internal/router", "-run", "Evacu", "-rapid.shrinktime=1s"}
 	failingTests        = []string{"./internal/router", "-run", "Failing|OlderRuns|MakeASuspect|FleetOfSuspects|WhatFails"}
