--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -25,7 +25,7 @@
 	OutputTok int                // the caller's estimate of the output in tokens
 	Cost      float64            // counted against the workspace's quota, in the quota's unit
 	Deadline  time.Duration      // on the reducer's clock
-	// Digest identifies the request across attempts; zero if the request is not subject to quarantine.
+	// Digest identifies the request across attempts; zero if it is not needed, as no request is suspected.
 	Digest quarantine.Digest
 }
 
@@ -117,19 +117,19 @@
 	Ask  *gossippb.Ask
 }
 
-// QuotaRequestReceived is another host's request to charge a workspace's quota, which this host owns.
+// QuotaRequestReceived is another host's request to charge a workspace's quota that this host owns, or to refund a charge.
 type QuotaRequestReceived struct {
 	From   string
 	Charge *gossippb.Charge
 }
 
-// QuotaReplyReceived is a quota owner's response to this host's charge request.
+// QuotaReplyReceived is a quota owner's reply to this host's quota request.
 type QuotaReplyReceived struct {
 	From    string
 	Charged *gossippb.Charged
 }
 
-// SlotOfferReceived is an owner's response to this host's slot request.
+// SlotOfferReceived is an owner's reply to this host's slot request.
 type SlotOfferReceived struct {
 	From  string
 	Offer *gossippb.Offer
@@ -214,7 +214,7 @@
 	Quota    QuotaBasis
 	// Wait is the predicted time to a stream's first event at the chosen backend server.
 	Wait time.Duration
-	// Owner is the host that granted the slot or decided on the quota; empty if this host decided alone.
+	// Owner is the host that granted the slot or decided on the quota; empty if this host decided locally.
 	Owner string
 	// Known, Full and Unreachable count the service's backend servers: those that may be used, those of them
 	// without a slot for this priority, and those assumed to be unreachable. Cold counts those of the full ones that take no
--- a/internal/router/heartbeats.go
+++ b/internal/router/heartbeats.go
@@ -25,7 +25,8 @@
 	// quotaLowDuration is how long heartbeats are sent twice as often after a request of a workspace whose quota is
 	// half exhausted: what others admit then matters soon.
 	quotaLowDuration = 2 * time.Second
-	// joinGapPerHost replaces changeGapPerHost there, where only joining hosts cause early heartbeats.
+	// joinGapPerHost replaces changeGapPerHost in fleets in which backend servers have owners. Load changes cause no early
+	// heartbeats there, only rarer events such as a joining host.
 	joinGapPerHost = 4 * time.Millisecond
 	// fullSpentHeartbeats is the number of heartbeats among which one carries all quota spending; the others carry what has
 	// changed.
@@ -166,7 +167,8 @@
 	return out
 }
 
-// ownUnreachable returns the backend servers that this host recently could not connect to, or whose address has another instance.
+// ownUnreachable returns the backend servers that this host recently could not connect to, or whose address
+// now belongs to another instance.
 func (r *Router) ownUnreachable() []uint32 {
 	return r.hashesOf(func(b *backend) bool { return r.now < b.unreachableUntil || b.replaced })
 }
--- a/internal/router/members.go
+++ b/internal/router/members.go
@@ -23,7 +23,7 @@
 	// contactInterval is how often seeds and unreachable hosts are sent a heartbeat. It bounds how long a zone is still
 	// considered cut off, with requests refused beside its idle engines, after the network has recovered.
 	contactInterval = 250 * time.Millisecond
-	// newHostDuration is how long after its start everything that a host reports as spent is taken to be recent.
+	// newHostDuration is how long a host counts as just started: everything that it reports as spent is recent then.
 	newHostDuration = 4 * time.Second
 	// maxPriorityCount is the highest count that fits into one byte of a packed load.
 	maxPriorityCount = 255
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxRejects limits the backend servers that may reject one request, and maxSends all attempts, most of
-	// which go to servers that are down.
+	// maxRejects limits the backend servers that may reject one request, and maxSends all attempts. Those beyond
+	// the rejected ones mostly fail to connect because the server is down.
 	maxRejects = 4
 	maxSends   = 8
 	// retryAfterDivisor limits the retry delay to a third of the caller's remaining time. Callers do not wait longer.
@@ -55,8 +55,8 @@
 	prefillTokens int
 	// retryPaid is set if the retry budget was charged when the move was decided.
 	retryPaid bool
-	// slotCall is the open slot request and fullOwners are the owners without a free slot. decideLocally is
-	// set if an owner did not reply. owner granted the slot; it is empty if this host chose the backend server.
+	// slotCall is the open slot request and fullOwners are the owners not to ask again: they had no usable slot,
+	// or did not reply from another zone. decideLocally is set if an owner in this zone did not reply. owner granted the slot; it is empty if this host chose the backend server.
 	slotCall      *slotRequest
 	fullOwners    []string
 	decideLocally bool
@@ -151,7 +151,7 @@
 	// at once.
 	maxIdleConns = 8
 	// idleConnShare is the share of a backend server's connections that the idle ones of all hosts may take.
-	// It resets connections beyond its limit.
+	// A backend server resets connections beyond its limit.
 	idleConnShare = 0.5
 )
 
@@ -194,7 +194,7 @@
 	return max(0, min(delay, (q.Deadline-r.now)/retryAfterDivisor))
 }
 
-// callerGone ends a request whose caller disconnected. The proxy stops the call itself.
+// callerGone ends a request whose caller disconnected. The gateway stops the call itself.
 func (r *Router) callerGone(id uint64) {
 	if q, ok := r.requests[id]; ok {
 		r.releaseSlot(q, DispatchEnded{Outcome: Canceled})
--- a/internal/router/select_test.go
+++ b/internal/router/select_test.go
@@ -70,8 +70,8 @@
 }
 
 // observeInterval adds a sample to an engine's event interval.
-func (b *fixture) observeInterval(engine string, pace time.Duration) {
-	b.r.backends[engine].learnEventInterval(pace)
+func (b *fixture) observeInterval(engine string, interval time.Duration) {
+	b.r.backends[engine].learnEventInterval(interval)
 }
 
 // Engines admit in order of arrival, so a burst of low-priority requests could fill the queues and delay urgent
@@ -112,8 +112,8 @@
 	require.Equal(t, "e1", engine)
 }
 
-// A stream of 1,800 tokens takes 28 s at an engine with an event interval of 47 ms. Its caller leaves after 10 s,
-// so the engine's work would be lost. It goes to a fast engine, however busy.
+// A stream of 1,800 tokens, three per event, takes 28 s at an engine with an event interval of 47 ms. Its caller leaves
+// after 10 s, so the engine's work would be lost. It goes to a fast engine, however busy.
 func TestLongStreamsAvoidSlowEngines(t *testing.T) {
 	b := newFixture(t, 2)
 	b.observeInterval("e0", 11*time.Millisecond)
--- a/internal/router/service.go
+++ b/internal/router/service.go
@@ -42,8 +42,8 @@
 	}
 }
 
-func (s *service) learnPrefill(read time.Duration) {
-	s.prefillPerToken = smoothPrefill(s.prefillPerToken, read)
+func (s *service) learnPrefill(perToken time.Duration) {
+	s.prefillPerToken = smoothPrefill(s.prefillPerToken, perToken)
 }
 
 // learnStreamLength adds the number of events of a stream; zero means that it was none.
--- a/internal/router/slotgrants.go
+++ b/internal/router/slotgrants.go
@@ -155,7 +155,8 @@
 	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.priority()), Requests: int32(requests), Unread: int32(promptTokens)}
 }
 
-// reportAssigned reports a request to the owner that did not grant its slot.
+// reportAssigned reports a request that was sent without a slot request to the owner of its backend server, which does
+// not count it yet.
 func (r *Router) reportAssigned(q *request) {
 	if to := r.reportTarget(q); to != "" && q.owner == "" {
 		r.sendReport(to, q.newReport(1, q.prefillTokens))
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -337,7 +337,7 @@
 }
 
 // An owner loses power. Without a timeout its zone peers would wait for its answers until it counts as unreachable, which takes
-// seconds. They decide alone after a moment and stop asking it.
+// seconds. They decide locally after a moment and stop asking it.
 func TestDeadOwnerDelaysNobody(t *testing.T) {
 	z := newZone(t, 20, 23)
 	owner := z.byIP[z.owners()[0]]
@@ -361,7 +361,7 @@
 	require.NotContains(t, z.owners(), owner.ip)
 }
 
-// A busy owner's offer arrives after the asking host has decided alone. The slot counts as taken at the
+// A busy owner's offer arrives after the asking host has decided locally. The slot counts as taken at the
 // owner and would until the next heartbeat, so that its engines would look full under heavy load. It is released at once.
 func TestLateOfferIsGivenBack(t *testing.T) {
 	z := newZone(t, 20, 23)
@@ -433,7 +433,7 @@
 	return false
 }
 
-// Owners' offers are lost, or arrive after the asking host has decided alone. If such slots counted as taken
+// Owners' offers are lost, or arrive after the asking host has decided locally. If such slots counted as taken
 // for as long as that host lives, the zone's engines would finally look full and all requests be refused. Late ones are
 // released at once, lost ones with the host's next heartbeat.
 func TestPlacesThatAreNotUsedAreGivenBack(t *testing.T) {
--- a/internal/router/zones.go
+++ b/internal/router/zones.go
@@ -95,7 +95,7 @@
 }
 
 // hasRole reports whether this host is among the n hosts of its zone with a role, by rendezvous hashing over the reachable
-// ones. While views differ, a role may have one holder more or fewer, which is why each has several.
+// ones. While views differ, a role may have one holder more or fewer, which is why most roles have several.
 func (r *Router) hasRole(role string, n int) bool {
 	mine := roleScore(r.opt.Host, role)
 	before := 0
