--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -105,7 +105,7 @@
 
 // 15 of 60 backend servers return at once, idle, while the fleet is under load. Each was the best choice of all hosts
 // and got more than twice the rate it can handle. Now only a few hosts send there, each at a share of the rate.
-func TestServersThatAreBackAtOnceAreNotRushed(t *testing.T) {
+func TestServersThatAreBackAtOnceAreNotOverloaded(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
 	at := f.now
@@ -121,7 +121,7 @@
 
 // All hosts crash when a zone's backend servers have just returned. Each restarted host knows no other and would take
 // the whole rate for itself.
-func TestRestartOfAllHostsRushesNoColdServer(t *testing.T) {
+func TestRestartOfAllHostsOverloadsNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
 	at := f.now
@@ -136,7 +136,7 @@
 
 // All hosts are disconnected from each other when a zone's backend servers return cold. None may take the rate that
 // belongs to the others.
-func TestHostsThatAreCutOffRushNoColdServer(t *testing.T) {
+func TestHostsThatAreCutOffOverloadNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
 	f.drops = func(from, to string, _ *gossippb.Packet) bool { return true }
@@ -189,7 +189,7 @@
 }
 
 // A host that has just started knows neither the other senders nor what its previous process sent.
-func TestYoungHostSendsNothingToColdServers(t *testing.T) {
+func TestRecentlyStartedHostSendsNothingToColdServers(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1, Seeds: []string{"10.0.0.2"}, Bounds: coldBounds})
 	cold := changeOf("cold", 20, false)
 	cold.Cold = 10 * time.Second
@@ -229,7 +229,7 @@
 }
 
 // A registration states how long a backend server stays cold. A later one can state that it is warm.
-func TestRegistrationsTellWhoIsCold(t *testing.T) {
+func TestRegistrationsStateWhichServersAreCold(t *testing.T) {
 	r := newStandalone(t, "a")
 	r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 		Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: testColdRate}}}}})
--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -106,7 +106,7 @@
 
 // A host that the store refuses learns of the era from its peers' heartbeats and pulls, even if the copy lists no server. The
 // update lacks the servers that the copy lacks, and they are kept for lostBackendTTL there too.
-func TestPeersHearOfAnEra(t *testing.T) {
+func TestPeersLearnOfAnEra(t *testing.T) {
 	reader, refused := newStandalone(t, "a"), newStandalone(t, "a")
 	reader.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{}))
 	beat := func(seq uint64) *gossippb.Beat {
@@ -133,7 +133,7 @@
 
 // A configuration from before the restore stays in force until a later one arrives: keys, routes and quotas that the older copy
 // still has were removed on purpose.
-func TestConfigurationOutlivesAnOlderCopy(t *testing.T) {
+func TestOlderCopyDoesNotRevertTheConfiguration(t *testing.T) {
 	r := newStandalone(t, "a")
 	r.Reduce(time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Config: &routing.Config{Version: 9}}})
 	r.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{Config: &routing.Config{Version: 1}}))
@@ -144,7 +144,7 @@
 
 // One host of each zone learns of the era from the store, which refuses the others. They learn of it from heartbeats within a
 // second and a half, before they would pull because of a different digest.
-func TestBeatsTellTheEra(t *testing.T) {
+func TestHeartbeatsReportTheEra(t *testing.T) {
 	z := newZones(t, 2, 12, 4)
 	for _, h := range []*zoneHost{z.hosts[0], z.hosts[12]} {
 		z.post(h, listing(inEra(1, 20), servers(inEra(1, 10), "e001")))
@@ -156,7 +156,7 @@
 }
 
 // The era adds few bytes to each heartbeat, and none in the first era.
-func TestEraIsCheapInBeats(t *testing.T) {
+func TestEraAddsFewBytesToHeartbeats(t *testing.T) {
 	b := &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: 1, ConfigVersion: 1, Revision: 4711, Digest: 7}
 	first := proto.Size(b)
 	b.Era = 100
--- a/internal/router/evacuations_test.go
+++ b/internal/router/evacuations_test.go
@@ -93,7 +93,7 @@
 }
 
 // Zone peers learn of an evacuation from each other alone.
-func TestZoneMatesTellEvacuations(t *testing.T) {
+func TestZonePeersReportEvacuations(t *testing.T) {
 	z := newZone(t, 20, 5)
 	z.post(z.hosts[3], evacuationStarted("z0", rev(70)))
 	z.run(1500*time.Millisecond, 0)
@@ -149,7 +149,7 @@
 }
 
 // When an evacuation ends, the zone's backend servers may have turned cold, and being idle they would get all requests.
-func TestServersOfAZoneTakenBackCountAsCold(t *testing.T) {
+func TestServersOfAReopenedZoneCountAsCold(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	for _, h := range f.hosts {
 		f.post(h, evacuationStarted("z2", rev(90)))
--- a/internal/router/speed_test.go
+++ b/internal/router/speed_test.go
@@ -47,7 +47,7 @@
 
 // All slots of the fast engine are in use. The next stream goes to the slow one if it would start there before one of
 // the fast engine's streams ends.
-func TestWaitForAPlaceCounts(t *testing.T) {
+func TestWaitForASlotCountsInTheChoice(t *testing.T) {
 	b := newMixedSpeeds(t)
 	for i := 0; i < 5; i++ {
 		require.Equal(t, "e0", b.prompt(700))
@@ -60,7 +60,7 @@
 
 // After a restart of all hosts no engine's speed is known. It must be learned from the first events of the first
 // streams: when it was learned at their end seconds later, a tenth of a host's requests went to the slowest engines.
-func TestFirstEventsTeachTheSpeed(t *testing.T) {
+func TestSpeedIsLearnedFromFirstEvents(t *testing.T) {
 	b := newFixture(t, 2)
 	require.Equal(t, "e0", b.prompt(1000))
 	b.post(StreamStarted{ID: 1, First: 60 * time.Millisecond})
@@ -80,7 +80,7 @@
 
 // A speed learned by one host is reported to the others once, and used only by hosts that have not observed the engine
 // themselves.
-func TestSpeedsAreTold(t *testing.T) {
+func TestLearnedSpeedsAreReportedToOtherHosts(t *testing.T) {
 	b := newFixture(t, 2)
 	b.prompt(1000)
 	b.post(StreamStarted{ID: 1, First: 60 * time.Millisecond})
--- a/internal/router/updates_test.go
+++ b/internal/router/updates_test.go
@@ -52,7 +52,7 @@
 
 // A backend server was removed while this host was down, and a peer that does not know this still reports
 // it. The host must not send requests to an address that is unused, or that another service has now.
-func TestOldRegistrationFromAPeerIsNotTaken(t *testing.T) {
+func TestOldRegistrationFromAPeerIsNotApplied(t *testing.T) {
 	b := newFixture(t, 1)
 	b.post(Update{Revision: rev(40), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("ghost", 40, false)}}})
 	require.Nil(t, b.r.backends["ghost"])
@@ -62,7 +62,7 @@
 // took most of their bandwidth. So a zone reports only its own backend servers, including the load
 // from other zones: without that they looked idle to the others, which all sent there.
 // The receiver subtracts its own requests, or it would count them twice.
-func TestEachZoneTellsOfItsOwnServers(t *testing.T) {
+func TestEachZoneReportsOnlyItsOwnServers(t *testing.T) {
 	withServers := func() *fixture {
 		b := newFixture(t, 0)
 		var list []routing.BackendChange
@@ -145,7 +145,7 @@
 
 // The same with lost datagrams: a host gets a later change but not those before it, and a heartbeat of a peer that
 // has them. It pulls all that it may have missed within a quarter of a second.
-func TestGapBeforeAHeardChangeIsAskedFor(t *testing.T) {
+func TestGapBeforeAReceivedChangeIsRequested(t *testing.T) {
 	b := newFixture(t, 1) // complete as of revision 50
 	late, err := json.Marshal([]routing.BackendChange{changeOf("later", 90, false)})
 	require.NoError(t, err)
@@ -164,7 +164,7 @@
 func rev(number uint64) routing.Revision { return routing.Revision{Number: number} }
 
 // Guards against changes of backend servers that are lost because a later heartbeat overtakes the one that carries them.
-func TestChangesInAnOvertakenBeatAreTaken(t *testing.T) {
+func TestChangesInAnOvertakenHeartbeatAreApplied(t *testing.T) {
 	b := newFixture(t, 0)
 	data, err := json.Marshal([]routing.BackendChange{changeOf("late", 60, false)})
 	require.NoError(t, err)
--- a/internal/router/zone_test.go
+++ b/internal/router/zone_test.go
@@ -338,7 +338,7 @@
 
 // An owner loses power. Without a timeout its zone peers would wait for its answers until it counts as unreachable, which takes
 // seconds. They decide locally after a moment and stop asking it.
-func TestDeadOwnerDelaysNobody(t *testing.T) {
+func TestDeadOwnerDelaysNoRequest(t *testing.T) {
 	z := newZone(t, 20, 23)
 	owner := z.byIP[z.owners()[0]]
 	require.NotEqual(t, z.hosts[0], owner, "choose another seed")
@@ -388,7 +388,7 @@
 
 // A host restarts and does not know its zone peers' load yet. As an owner it would take busy engines
 // for idle and offer them to all hosts.
-func TestYoungHostOwnsNothing(t *testing.T) {
+func TestRecentlyStartedHostOwnsNoServer(t *testing.T) {
 	z := newZone(t, 20, 23)
 	owner := z.owners()[0]
 	h := z.byIP[owner]
@@ -436,7 +436,7 @@
 // Owners' offers are lost, or arrive after the asking host has decided locally. If such slots counted as taken
 // for as long as that host lives, the zone's engines would finally look full and all requests be refused. Late ones are
 // released at once, lost ones with the host's next heartbeat.
-func TestPlacesThatAreNotUsedAreGivenBack(t *testing.T) {
+func TestSlotsThatAreNotUsedAreReleased(t *testing.T) {
 	z := newZone(t, 20, 23)
 	z.drops = func(_, _ string, p *gossippb.Packet) bool { return p.Beat == nil && z.rng.IntN(4) == 0 }
 	z.run(5*time.Second, 120)
@@ -454,7 +454,7 @@
 
 // A stream begins and ends. Its owner must learn this at once: with the next heartbeat only, up to a second later, its
 // engines would look full under heavy load, and requests would be refused.
-func TestOwnerHearsOfEachEnd(t *testing.T) {
+func TestOwnerLearnsAtOnceOfEachEnd(t *testing.T) {
 	z := newZone(t, 20, 23)
 	asker := z.hosts[0]
 	request, owner := z.requestSlot(asker)
@@ -500,7 +500,7 @@
 
 // An engine crashes and looks idle, so its owner would offer it to every host of the zone until each has found out
 // for itself. Two hosts that cannot connect are enough evidence; a single one may be cut off itself.
-func TestOwnerBelievesTwoThatCannotConnect(t *testing.T) {
+func TestOwnerDropsAServerThatTwoHostsCannotReach(t *testing.T) {
 	z := newZone(t, 20, 23)
 	owner := z.byIP[z.owners()[0]]
 	ask := func(from string) string {
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -22,7 +22,7 @@
 	suspectTests        = []string{"./internal/router", "-run", "Deadly|Suspects|Quarantin|OnlyEnds|LeavingEngine|LapsedEngine|CutAddUp|Rack"}
 	announcementTests   = []string{"./internal/router", "-run", "Leaving|Away|UnlikeTimes"}
 	coreSuspectTests    = []string{"./internal/core", "-run", "Deadly|QuarantinedWhile"}
-	coldTests           = []string{"./internal/router", "-run", "Cold|BackAtOnce|CutOffRush", "-rapid.shrinktime=1s"}
+	coldTests           = []string{"./internal/router", "-run", "Cold|BackAtOnce|CutOffOverload", "-rapid.shrinktime=1s"}
 	evacuationTests     = []string{"./internal/router", "-run", "Evacu", "-rapid.shrinktime=1s"}
 	failingTests        = []string{"./internal/router", "-run", "Failing|OlderRuns|MakeASuspect|FleetOfSuspects|WhatFails"}
 	eraTests            = []string{"./internal/router", "-run", "Era|Copy|Lost|Promises"}
