--- a/internal/router/announcements_test.go
+++ b/internal/router/announcements_test.go
@@ -58,7 +58,7 @@
 // One host has learned that an engine is leaving. The others would continue to send requests there, and those streams would end
 // with the engine. All learn of it within a second and a half, in fleets with a full mesh of heartbeats and in those with
 // owners, with every tenth datagram lost.
-func TestOthersHearOfLeaving(t *testing.T) {
+func TestOtherHostsLearnOfLeaving(t *testing.T) {
 	for _, c := range []struct{ zones, hosts int }{{3, 3}, {6, 20}} {
 		t.Run(fmt.Sprintf("%d zones of %d", c.zones, c.hosts), func(t *testing.T) {
 			z := newZones(t, c.zones, c.hosts, 4)
@@ -102,7 +102,7 @@
 // A backend server asks a host to hold off for two seconds. The host sends it nothing for that time, and if there is no other
 // server, its callers are told to retry after the hold-off. Then the server gets one request at a time until it has
 // answered one, as all hosts that it turned away come back.
-func TestTimeToStayAway(t *testing.T) {
+func TestServerGetsNothingDuringItsHoldOff(t *testing.T) {
 	r := newStandalone(t, "a")
 	at := 2 * time.Second
 	dispatchOf(t, submitted(r, 1, at))
@@ -123,7 +123,7 @@
 }
 
 // Hosts that were turned away at the same moment come back at different times.
-func TestHostsComeBackAtUnlikeTimes(t *testing.T) {
+func TestHostsReturnAtDifferentTimes(t *testing.T) {
 	z := newZones(t, 3, 3, 1)
 	moments := map[time.Duration]bool{}
 	for _, h := range z.hosts {
--- a/internal/router/failing_test.go
+++ b/internal/router/failing_test.go
@@ -32,7 +32,7 @@
 
 // The same under overload. All other engines are full, and the failing one always has room: four such engines lost
 // 1,400 requests in five seconds.
-func TestFailingServerIsNoRefugeFromAnOverload(t *testing.T) {
+func TestFailingServerGetsFewRequestsUnderOverload(t *testing.T) {
 	z := newFailingFleet(t, 1, "e022")
 	z.run(5*time.Second, 1000)
 	require.Positive(t, z.refused)
@@ -41,7 +41,7 @@
 
 // Owners do not reply to slot requests, so all hosts decide locally. They still learn from the owners' reports which
 // engine fails, in its zone and in others.
-func TestFailingServerIsToldBeyondAnswers(t *testing.T) {
+func TestFailingServerIsReportedWithoutSlotReplies(t *testing.T) {
 	z := newFailingFleet(t, 1, "e022")
 	z.drops = func(_, _ string, p *gossippb.Packet) bool { return p.Ask != nil }
 	z.run(5*time.Second, 300)
@@ -109,7 +109,7 @@
 }
 
 // In a small fleet hosts report which engines fail their requests. A single report may stem from a fault of its sender.
-func TestTwoHostsWordsMakeASuspect(t *testing.T) {
+func TestReportsOfTwoHostsMakeASuspect(t *testing.T) {
 	r := newStandalone(t, "a", "b")
 	report := func(host string, seq uint64, failing ...uint32) {
 		r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: host, Zone: "z0", Incarnation: 1, Seq: seq, Failing: failing}})
@@ -125,7 +125,7 @@
 
 // Another zone's summary lists a failing engine. A host that finds nothing better decides locally after some refusals,
 // and must still avoid that engine.
-func TestSumsOfZonesTellWhatFails(t *testing.T) {
+func TestZoneSummariesReportWhatFails(t *testing.T) {
 	z := newZones(t, 3, 10, 3)
 	z.run(2*time.Second, 50)
 	h := z.hosts[0].r
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -143,7 +143,7 @@
 // A third of the hosts are disconnected, each alone, while a workspace requests six times its quota. Each used to
 // refill as if the others admitted nothing until it noticed, and to count all callers as its own: together they
 // admitted twice the quota, twenty times their even share each. They must stay close to their even share.
-func TestHostsThatHearNobodyKeepToTheirPart(t *testing.T) {
+func TestDisconnectedHostsStayNearTheirEvenShare(t *testing.T) {
 	t.Parallel()
 	f := newBusyWorkspace(t, 16)
 	cut := map[string]bool{}
@@ -307,7 +307,7 @@
 
 // Guards against zone summaries that list all of hundreds of workspaces each time. Relayed to a hundred hosts at once
 // they overflow a small host's link, and hosts that miss them consider the zone disconnected.
-func TestSumsNameWhatWasSpentSince(t *testing.T) {
+func TestSummariesListOnlyNewSpending(t *testing.T) {
 	const workspaces = 200
 	b := newFixture(t, 1)
 	cfg := &routing.Config{Version: 9}
--- a/internal/router/select_test.go
+++ b/internal/router/select_test.go
@@ -284,7 +284,7 @@
 
 // A zone is reconnected after a network cut. Its engines get requests at once, one each until one is answered. They
 // used to be avoided for two more seconds while the other engines refused a hundred requests.
-func TestZoneHeardAgainGetsWork(t *testing.T) {
+func TestReconnectedZoneGetsWork(t *testing.T) {
 	b := newFixture(t, 2)
 	e0 := b.r.backends["e0"]
 	e0.Zone = "z1"
@@ -320,7 +320,7 @@
 // Engines with one slot release it once a second, those with many release one every few milliseconds. With a fixed
 // queue of four at each, nearly all streams at one-slot engines were late. The queue now follows the slot release
 // interval, and more urgent requests still go first.
-func TestPlacesToWaitFollowTheEngine(t *testing.T) {
+func TestQueueFollowsTheSlotReleaseInterval(t *testing.T) {
 	b := newFixture(t, 1)
 	e0 := b.r.backends["e0"]
 	e0.learnEventInterval(20 * time.Millisecond)
--- a/internal/router/start_test.go
+++ b/internal/router/start_test.go
@@ -39,7 +39,7 @@
 // All hosts lose power together and start again while callers wait. When all of them waited a quarter of a second for
 // peers with a configuration, the fleet refused some 150 requests
 // meanwhile. The seeds, which all hosts contact, read at once; if they are down, a few others do.
-func TestSomebodyReadsTheStoreAtOnce(t *testing.T) {
+func TestSomeHostReadsTheStoreAtOnce(t *testing.T) {
 	at := firstReads(9, []string{"10.0.0.2", "10.0.0.5"})
 	require.Zero(t, at[1])
 	require.Zero(t, at[4])
@@ -67,7 +67,7 @@
 // A host starts and contacts a peer that has the configuration. It pulls only after a heartbeat has shown that there
 // is something newer. The peer must send that at once: at its regular interval, callers
 // would be refused up to a tenth of a second longer.
-func TestNewcomerHearsAtOnce(t *testing.T) {
+func TestStartingHostGetsAHeartbeatAtOnce(t *testing.T) {
 	b := newFixture(t, 1)
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	b.now += minChangeGap + time.Millisecond
@@ -78,7 +78,7 @@
 
 // The first of the starting hosts has read the configuration. The others wait for it and must learn so at
 // once.
-func TestFirstConfigurationIsToldAtOnce(t *testing.T) {
+func TestFirstConfigurationIsReportedAtOnce(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1, Seeds: []string{"10.0.0.1"}})
 	r.Reduce(0, HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	r.Reduce(0, Tick{})
@@ -109,7 +109,7 @@
 
 // Zones without a summary yet count as large as the host's own while it starts, as quotas are divided by the
 // number of hosts. Later, a zone without a summary does not count.
-func TestUnheardZonesCountWhileStarting(t *testing.T) {
+func TestZonesWithoutASummaryCountWhileStarting(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1})
 	for i := 2; i <= 10; i++ {
 		r.Reduce(time.Millisecond, HeartbeatReceived{&gossippb.Beat{Host: fmt.Sprintf("10.0.0.%d", i), Zone: "z0", Incarnation: 1, Seq: 1}})
--- a/internal/router/suspects_test.go
+++ b/internal/router/suspects_test.go
@@ -83,7 +83,7 @@
 // A crashing request reaches hosts of all zones in turn, ten times a second. No host sees it twice, and each end is
 // observed in one zone only. Within maxSpreadTime of the third end no host may send it any more, even if 10% of
 // datagrams are lost.
-func TestAllHostsHearOfADeadlyRequest(t *testing.T) {
+func TestAllHostsLearnOfADeadlyRequest(t *testing.T) {
 	for _, c := range []struct{ zones, hosts int }{{3, 3}, {6, 20}} {
 		t.Run(fmt.Sprintf("%d zones of %d", c.zones, c.hosts), func(t *testing.T) {
 			z := newZones(t, c.zones, c.hosts, 12)
@@ -129,7 +129,7 @@
 
 // A host restarts long after a request was quarantined, without any record of it. The next such request would crash one
 // more engine.
-func TestStartedHostHearsOfQuarantines(t *testing.T) {
+func TestStartedHostLearnsOfQuarantines(t *testing.T) {
 	for _, perZone := range []int{3, 8} {
 		z := newZones(t, 3, perZone, 8)
 		o := newCrashSender(z)
@@ -147,7 +147,7 @@
 
 // Three engines are lost with a rack while each runs the same popular request, which succeeds elsewhere. It must not be
 // refused at any host.
-func TestPopularRequestOutlivesARack(t *testing.T) {
+func TestPopularRequestIsNotBlamedForARackFailure(t *testing.T) {
 	z := newZones(t, 3, 8, 8)
 	for i, engine := range []string{"e001", "e009", "e017"} {
 		h := z.hosts[8*i]
@@ -257,7 +257,7 @@
 }
 
 // An engine that leaves ends by itself, with streams in flight that took too long. They are not suspected.
-func TestLeavingEngineAccusesNobody(t *testing.T) {
+func TestLeavingEngineBlamesNoRequest(t *testing.T) {
 	r := newStandalone(t, "a")
 	d := dispatchOf(t, r.Reduce(2*time.Second, Submit{ID: 1, Route: fragile, Deadline: time.Minute}))
 	ch := changeOf("a", 60, false)
--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -20,13 +20,13 @@
 	platformFormatTests = []string{"./platform", "-run", "DecodeServer|Registration"}
 	quarantineTests     = []string{"./internal/quarantine", "-rapid.shrinktime=1s"}
 	suspectTests        = []string{"./internal/router", "-run", "Deadly|Suspects|Quarantin|OnlyEnds|LeavingEngine|LapsedEngine|CutAddUp|Rack"}
-	announcementTests   = []string{"./internal/router", "-run", "Leaving|Away|UnlikeTimes"}
+	announcementTests   = []string{"./internal/router", "-run", "Leaving|HoldOff|DifferentTimes"}
 	coreSuspectTests    = []string{"./internal/core", "-run", "Deadly|QuarantinedWhile"}
 	coldTests           = []string{"./internal/router", "-run", "Cold|BackAtOnce|CutOffOverload", "-rapid.shrinktime=1s"}
 	evacuationTests     = []string{"./internal/router", "-run", "Evacu", "-rapid.shrinktime=1s"}
 	failingTests        = []string{"./internal/router", "-run", "Failing|OlderRuns|MakeASuspect|FleetOfSuspects|WhatFails"}
 	eraTests            = []string{"./internal/router", "-run", "Era|Copy|Lost|Promises"}
-	quotaTests          = []string{"./internal/router", "-run", "Quota|Owner|SumsName"}
+	quotaTests          = []string{"./internal/router", "-run", "Quota|Owner|NewSpending"}
 	limitTests          = []string{"./internal/limit", "-rapid.shrinktime=1s"}
 )
 
