--- a/internal/sched/group_test.go
+++ b/internal/sched/group_test.go
@@ -243,7 +243,7 @@
 // Guards against a new scheduler that grants at once after its predecessor died with its engines full: the
 // engines would get twice their window and every answer would slow down. It first waits for the holdings
 // of the entry hosts.
-func TestNewSchedulerHearsHoldingsBeforeItGrants(t *testing.T) {
+func TestNewSchedulerWaitsForHoldingsBeforeItGrants(t *testing.T) {
 	var inv invariant.Log
 	g := NewGroup(0, DefaultOptions(), record.Service{Name: "s", Kind: record.ServiceModel, Policy: "cost"}, []string{"h1", "h2"}, &inv)
 	g.SetBackends(0, []record.Backend{{Name: "b", Service: "s", Slots: 2, CanSuspend: true}})
@@ -258,7 +258,7 @@
 
 // Guards against a new scheduler that waits without end for the holdings of a dead entry host; no request
 // would be granted a slot.
-func TestNewSchedulerDoesNotWaitForTheDead(t *testing.T) {
+func TestNewSchedulerDoesNotWaitForDeadHosts(t *testing.T) {
 	var inv invariant.Log
 	g := NewGroup(0, DefaultOptions(), record.Service{Name: "s", Kind: record.ServiceModel, Policy: "cost"}, []string{"dead"}, &inv)
 	g.SetBackends(0, []record.Backend{{Name: "b", Service: "s", Slots: 2}})
