--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -229,7 +229,7 @@
 
 // A host starts beside others that have admitted a lot over hours, or reconnects to a host whose total it had dropped.
 // It must not refuse all requests because of what was admitted long ago.
-func TestFirstWordIsNotCharged(t *testing.T) {
+func TestFirstReportIsNotCharged(t *testing.T) {
 	q := NewQuota(0, 100, 100, Allowance{Window: window})
 	q.ApplyPeerTotal(PeerTotal{Peer: "old", Spent: 1e9})
 	ok, _ := q.Admit(0, 10, oneHost(1, 2))
@@ -253,7 +253,7 @@
 
 // Eighty hosts receive each other's totals half a second late, and one workspace suddenly requests six times its quota
 // at all of them. What all hosts admit before the totals arrive is bounded by each host's own bucket.
-func TestManyHostsAdmitLittleBeforeTheyHear(t *testing.T) {
+func TestManyHostsAdmitLittleBeforeTotalsArrive(t *testing.T) {
 	const hosts, rate, cost, delay = 80, 330_000.0, 4000.0, 10
 	allow := Allowance{Window: window, Overage: 0.25, Slack: 190_000}
 	f := newTestFleet(hosts, rate, rate, allow)
@@ -308,7 +308,7 @@
 
 // A host that has just started reports a million times the quota as admitted, because of a fault in its counting or its
 // memory. The others must not refuse requests for longer than about a window because of it.
-func TestAbsurdWordDoesNotRefuseForGood(t *testing.T) {
+func TestAbsurdReportCausesNoLongRefusal(t *testing.T) {
 	q := NewQuota(0, 1000, 1000, Allowance{Window: window})
 	q.ApplyPeerTotal(PeerTotal{Peer: "mad", Spent: 1e9, RecentlyStarted: true})
 	ok, _ := q.Admit(time.Second, 10, oneHost(1, 2))
