--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -18,8 +18,8 @@
 }
 
 // NewPool returns an empty pool; onDial is called for each new connection.
-func NewPool(dialed func()) *Pool {
-	return &Pool{dialer: Dialer(dialTimeout), idle: map[string][]*conn{}, onDial: dialed}
+func NewPool(onDial func()) *Pool {
+	return &Pool{dialer: Dialer(dialTimeout), idle: map[string][]*conn{}, onDial: onDial}
 }
 
 // get takes the most recently used idle connection, or dials.
