--- a/internal/quarantine/blame_test.go
+++ b/internal/quarantine/blame_test.go
@@ -69,7 +69,7 @@
 
 // Requests that were in flight at the same ends explain them equally well; exactly one is blamed, and the same one on
 // all hosts.
-func TestEqualsAreToldApartByDigest(t *testing.T) {
+func TestExactlyOneOfEqualCausesIsBlamed(t *testing.T) {
 	l := fullLedger()
 	require.Len(t, l.cases, maxCases)
 	require.Len(t, l.Quarantined(), maxCasesPerWorkspace)
--- a/internal/quarantine/messages_test.go
+++ b/internal/quarantine/messages_test.go
@@ -11,7 +11,7 @@
 )
 
 // Messages between hosts aren't trusted: their size is bounded and malformed entries are skipped without a panic.
-func TestWordsAreChecked(t *testing.T) {
+func TestMessagesAreChecked(t *testing.T) {
 	l := NewLedger()
 	var many []*quarantinepb.Suspect
 	for i := range 10 * maxFull {
@@ -29,7 +29,7 @@
 
 // A host sends what it observed. The receiver reaches the same verdict on its own clock, and forwards what is new to it
 // once.
-func TestWordsCarryTheVerdict(t *testing.T) {
+func TestMessagesLeadToTheSameVerdict(t *testing.T) {
 	a, b := NewLedger(), NewLedger()
 	for i := range uint32(3) {
 		ended(a, time.Hour+time.Duration(i)*time.Second, i, "deadly")
