--- a/internal/ingress/connections_test.go
+++ b/internal/ingress/connections_test.go
@@ -261,7 +261,7 @@
 
 // Guards against a host that closes a connection with an unread request on it: its caller would get a reset, and not
 // know whether the request has run.
-func TestRequestThatIsUnreadAtTheEndIsToldSo(t *testing.T) {
+func TestRequestThatIsUnreadAtTheEndGetsTheNotice(t *testing.T) {
 	h := newHost(t)
 	kept := h.idleCaller()
 	h.blockReads()
@@ -278,7 +278,7 @@
 }
 
 // Guards against a host that cuts off a request whose head is still arriving when its time is up.
-func TestHalfAHeadAtTheEndIsToldSo(t *testing.T) {
+func TestHalfAHeadAtTheEndGetsTheNotice(t *testing.T) {
 	h := newHost(t)
 	half := h.caller()
 	_, err := io.WriteString(half, requestText[:10])
@@ -291,7 +291,7 @@
 }
 
 // Guards against a connection that arrives after the end of the host and is closed without the notice.
-func TestConnectionAfterTheEndIsToldSo(t *testing.T) {
+func TestConnectionAfterTheEndGetsTheNotice(t *testing.T) {
 	h := newHost(t)
 	h.c.closeUnserved()
 	late := h.caller()
@@ -305,7 +305,7 @@
 
 // Guards against connections that are accepted in the last moments before the listener closes, and are closed without
 // the notice.
-func TestConnectionsAsTheListenerClosesAreToldSo(t *testing.T) {
+func TestConnectionsAsTheListenerClosesGetTheNotice(t *testing.T) {
 	for range 20 {
 		h := newHost(t)
 		var wg sync.WaitGroup
@@ -332,7 +332,7 @@
 }
 
 // Guards against the loss of a request that arrives while its idle connection is closed for a lowered limit.
-func TestRequestThatCrossesTheIdleLimitIsToldSo(t *testing.T) {
+func TestRequestThatCrossesTheIdleLimitGetsTheNotice(t *testing.T) {
 	h := newHost(t, longLinger)
 	c := h.idleCaller()
 	h.c.Expire(time.Now().Add(time.Second), time.Minute)
@@ -345,7 +345,7 @@
 }
 
 // Guards against the loss of a request that arrives while http.Server itself closes an idle connection.
-func TestRequestThatCrossesTheServersIdleLimitIsToldSo(t *testing.T) {
+func TestRequestThatCrossesTheServersIdleLimitGetsTheNotice(t *testing.T) {
 	h := newHost(t, longLinger, func(h *testHost) { h.server.IdleTimeout = 50 * time.Millisecond })
 	c := h.caller()
 	require.NoError(t, c.send())
