--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -285,7 +285,7 @@
 	{"said-away", "limits", "internal/router/backends.go", "	case now < b.holdOffUntil:\n		return holdingOff\n", "", announcementTests},
 	{"said-away-longest", "limits", "internal/router/announcements.go", "if until <= b.holdOffUntil {", "if false {", announcementTests},
 	{"said-away-spread", "limits", "internal/router/announcements.go", "r.now + d + jitter", "r.now + d + 0*jitter", announcementTests},
-	{"said-in-the-head", "4", "internal/gateway/relay.go", "info.Leaving || info.HoldOff > 0", "false", platformTests("Leaving|StayAway")},
+	{"said-in-the-head", "4", "internal/gateway/relay.go", "info.Leaving || info.HoldOff > 0", "false", platformTests("Leaving|HoldOff")},
 	{"core-quarantine", "ends", "internal/core/suspects.go", "if found == nil || r.onTrial {", "if found != nil || r.onTrial {", coreSuspectTests},
 	{"core-quarantine-waiting", "ends", "internal/core/entry.go", "if f := c.quarantined(r); f != nil && !r.sent {", "if f := c.quarantined(r); f != nil && false {", coreSuspectTests},
 	{"core-quarantine-zones", "ends", "internal/core/digest.go", "	c.suspects.ledger.Merge(c.now, d.Suspects)\n", "", coreSuspectTests},
