--- a/Makefile
+++ b/Makefile
@@ -38,7 +38,7 @@
 # A host is paused again and again beside a leaving backend server: make pauses PAUSES=20
 PAUSES ?= 20
 pauses:
-	FIREFLYSHIFT_PAUSES=$(PAUSES) $(GO) test -race ./test -run TestWokenHost -v -count=1 -timeout 0
+	FIREFLYSHIFT_PAUSES=$(PAUSES) $(GO) test -race ./test -run TestResumedHost -v -count=1 -timeout 0
 
 # Long randomised runs with fresh seeds: make soak CHECKS=20000
 CHECKS ?= 3000
--- a/test/dispatch_test.go
+++ b/test/dispatch_test.go
@@ -73,7 +73,7 @@
 
 // Guards against a paused process that acts on expired grants: it is stopped past every lease with requests waiting in it.
 // No request may run twice, and none that was refused as "not run" may have run.
-func TestHostWakesPastEveryLease(t *testing.T) {
+func TestHostResumesAfterEveryLeaseHasExpired(t *testing.T) {
 	b := newTestbed(t, "a1", "a2")
 	b.addEngine("e1", "zone-a", fastEngine())
 	s := b.addPlainService("git-1", "zone-a", 5*time.Millisecond)
@@ -101,7 +101,7 @@
 
 // Guards against failures while two hosts schedule the same group: the scheduler is paused, another host takes over the role,
 // and the first resumes as if it still had it. Both then grant slots on the same engines, and callers must not notice.
-func TestTwoHostsBelieveTheyHoldTheSameDuty(t *testing.T) {
+func TestTwoHostsScheduleTheSameGroup(t *testing.T) {
 	b := newTestbed(t, "a1", "a2", "a3")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -29,7 +29,7 @@
 // had "Dispatch." with backend=e1, the resumed host as scheduler, granted_ago_ms of 3 to 27 and lease_left_ms of 1,971 to
 // 1,995, right after "The process was paused.". Each request's trace showed a slot request to the host itself after one to
 // the real scheduler.
-func TestWokenHostSendsNothingToALeavingServer(t *testing.T) {
+func TestResumedHostSendsNothingToALeavingServer(t *testing.T) {
 	for _, role := range []string{"entry", "scheduler"} {
 		t.Run(role, func(t *testing.T) {
 			b := newTestbed(t, "a1", "a2", "a3")
