--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -46,7 +46,7 @@
 
 // Guards against moving the roles of live hosts when another host dies: each move costs a group the state
 // of its scheduler.
-func TestOnlyTheDutiesOfTheDeadMove(t *testing.T) {
+func TestOnlyRolesOfDeadHostsMove(t *testing.T) {
 	hosts := []string{"a", "b", "c", "d", "e"}
 	for i := 0; i < 200; i++ {
 		role := fmt.Sprint("sched/s/", i)
@@ -60,7 +60,7 @@
 
 // Guards against a zone that is shut down as a whole and in which no host schedules the waiting requests,
 // and against roles of a host whose state may be from before a pause.
-func TestHostsThatAllDrainKeepTheirDuties(t *testing.T) {
+func TestHostsThatAllDrainKeepTheirRoles(t *testing.T) {
 	v := testView(3)
 	v.SetDraining()
 	v.HeartbeatReceived(0, "h1", 1, 2, true)
