--- a/internal/gossip/news_test.go
+++ b/internal/gossip/news_test.go
@@ -57,7 +57,7 @@
 }
 
 // The control thread does not respond in time. The client must get an error, not an empty update.
-func TestSilentControlThreadIsNoNews(t *testing.T) {
+func TestSilentControlThreadIsAnError(t *testing.T) {
 	h := Handler(&fakeSource{unavailable: true})
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, updatesPath+"?revision=0&version=0", nil))
@@ -65,7 +65,7 @@
 }
 
 // A client that does not accept compressed responses must get uncompressed ones.
-func TestNewsAreReadableEitherWay(t *testing.T) {
+func TestUpdatesAreSentUncompressedWhereNeeded(t *testing.T) {
 	h := Handler(&fakeSource{revision: 5})
 	for _, encoding := range []string{"", gzipEncoding} {
 		req := httptest.NewRequest(http.MethodGet, updatesPath+"?revision=0&version=0", nil)
