--- a/internal/bound/bound_test.go
+++ b/internal/bound/bound_test.go
@@ -19,7 +19,7 @@
 }
 
 // Checks allocations by hand: windows that are nested, overlap, and are disjoint.
-func TestTakeGivesWhatFits(t *testing.T) {
+func TestAllocationsByHand(t *testing.T) {
 	c := newSingleServerCapacity()
 	work := func(d time.Duration) float64 { return float64(d) }
 	require.Equal(t, work(50*ms), c.allocate(0, 99*ms, work(50*ms)))
