--- a/internal/telemetry/log_test.go
+++ b/internal/telemetry/log_test.go
@@ -22,7 +22,7 @@
 
 // The program that collects a host's log hangs. Guards against delaying callers' responses by waiting for it: lines must be
 // dropped and counted instead, and warnings must not be sampled.
-func TestSlowReaderOfTheLogDelaysNobody(t *testing.T) {
+func TestSlowReaderOfTheLogDelaysNoResponse(t *testing.T) {
 	m := NewMetrics()
 	w := &blockedWriter{unblock: make(chan struct{})}
 	log, flush := NewLogger(w, "info", false, m)
