--- a/internal/upstream/call_test.go
+++ b/internal/upstream/call_test.go
@@ -45,7 +45,7 @@
 
 // A host checks whether a server whose answer broke off is still there. If it is, the connection is kept for the next
 // call; if nothing listens any more, the server has ended.
-func TestCheckTellsWhetherAServerIsThere(t *testing.T) {
+func TestProbeReportsWhetherAServerIsReachable(t *testing.T) {
 	srv := httptest.NewServer(http.NotFoundHandler())
 	dialed := 0
 	pool := NewPool(func() { dialed++ })
