--- a/internal/tools/mutants/table.go
+++ b/internal/tools/mutants/table.go
@@ -85,7 +85,7 @@
 	{"leaving-host-list", "4", "internal/core/core.go", "b.Leaving || c.leaving[b.Addr]", "b.Leaving", coreTests},
 	{"drain-wait", "5", "internal/daemon/daemon.go", "if known && requests == 0 && d.connections.TryStop() {", "if (known && requests >= 0) || d.connections.TryStop() {", processTests("ShutdownWaits")},
 	{"drain-connections", "5", "internal/daemon/daemon.go", "if known && requests == 0 && d.connections.TryStop() {", "if known && requests == 0 {", processTests("StopWaitsForAHead")},
-	{"drain-notice", "5", "internal/daemon/daemon.go", "ingress.New(edge.NotRunHeader)", "ingress.New()", processTests("StopTellsIdle")},
+	{"drain-notice", "5", "internal/daemon/daemon.go", "ingress.New(edge.NotRunHeader)", "ingress.New()", processTests("StopNotifiesIdle")},
 	{"drain-says-close", "5", "internal/edge/drain.go", "	if w.draining.Load() {\n", "	if false {\n", []string{"./internal/edge"}},
 	{"drain-body", "5", "internal/edge/body.go", "ingress.AbortReads(s.ending, rc)", "ingress.AbortReads(c.Context(), rc)", []string{"./internal/edge"}},
 	{"stop-keeps-answer", "5", "internal/edge/dispatch.go", "					f = nil //", "					//", []string{"./internal/edge"}},
--- a/test/notice_test.go
+++ b/test/notice_test.go
@@ -32,7 +32,7 @@
 
 // Guards against an idle connection that closes without a response: a caller that has just sent a request on it could not know
 // that the request did not run.
-func TestStopTellsIdleConnectionsThatNothingRan(t *testing.T) {
+func TestStopNotifiesIdleConnections(t *testing.T) {
 	b := newSingleHostBed(t, time.Millisecond)
 	c := connectReused(t, b.addr("a1"))
 	b.hosts["a1"].Signal(syscall.SIGTERM)
