--- a/internal/core/catchup.go
+++ b/internal/core/catchup.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	// minPause is the gap between two events from which on the gap is not counted as missed heartbeats of
-	// other hosts. Ticks come at least every IdleTickInterval. A shorter gap may be due to a busy machine,
-	// and excluding it would only delay the detection of dead hosts.
+	// minPause is the shortest gap between two events that counts as a pause of this process; a pause is
+	// excluded from the time without heartbeats of other hosts. Ticks come at least every IdleTickInterval.
+	// A shorter gap may be due to a busy machine, and excluding it would only delay the detection of dead
+	// hosts.
 	minPause = 200 * time.Millisecond
-	// minCatchUpPause is the gap from which on this host catches up before it acts. A shorter pause adds
-	// its length to the age of the state that the host dispatches on: with twice this value and a lease of
-	// 2 s, a leaving backend server got work after the allowed time.
+	// minCatchUpPause is the shortest pause after which this host catches up before it acts. A shorter
+	// pause adds its length to the age of the state that the host dispatches on: with twice this value and
+	// a lease of 2 s, a leaving backend server got requests after the allowed time.
 	minCatchUpPause = time.Second
 	// catchUpTimeout limits the catch-up, since callers wait for it and a host that is cut off from all
 	// others and from the platform has to continue with what it knows. The answers of the platform and of
@@ -35,10 +36,8 @@
 	hosts     bool            // the host list has to be read again
 }
 
-// sentAfterPause reports whether an echoed reading of this host's clock is from after the pause.
-func (s *catchUpState) sentAfterPause(echoMS uint64) bool {
-	return echoMS >= uint64(s.resumedAt/time.Millisecond)
-}
+// afterPause reports whether ms, a reading of this host's clock that a peer echoes, is from after the pause.
+func (s *catchUpState) afterPause(ms uint64) bool { return ms >= uint64(s.resumedAt/time.Millisecond) }
 
 // detectPause checks the time since the last event, before the next one is applied. It runs for every
 // event, since a message or a caller's request may come before the first tick after a pause.
@@ -87,7 +86,7 @@
 // in a socket during the pause echoes an older clock reading; one from a host that is itself catching up
 // proves nothing.
 func (c *Core) catchUpFromHeartbeat(from string, h *peerpb.Heartbeat) {
-	fresh := h.EchoIncarnation == c.opt.Incarnation && c.catchUp.sentAfterPause(h.EchoMs)
+	fresh := h.EchoIncarnation == c.opt.Incarnation && c.catchUp.afterPause(h.EchoMs)
 	if !c.view.CatchingUp() || !fresh || h.CatchingUp || h.ConfigRevision > c.conf.Revision() {
 		return
 	}
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -69,7 +69,7 @@
 	heapIndex      int
 	trace          []TraceEvent
 	// onTrial reports that the request runs although it is in quarantine, to find out whether it still
-	// ends backend servers.
+	// crashes backend servers.
 	onTrial bool
 }
 
@@ -131,7 +131,7 @@
 }
 
 func (c *Core) checkSubmit(e Submit) *fault.Error {
-	if c.drain {
+	if c.draining {
 		return c.drainingFault()
 	}
 	if !c.gossip.synced {
@@ -188,7 +188,7 @@
 	}
 	spec, usable := c.usable(m.Backend)
 	validUntil := time.Duration(m.EchoMs+uint64(m.LeaseMs)) * time.Millisecond
-	if !usable || m.EchoIncarnation != c.opt.Incarnation || c.now > validUntil || !c.catchUp.sentAfterPause(m.EchoMs) {
+	if !usable || m.EchoIncarnation != c.opt.Incarnation || c.now > validUntil || !c.catchUp.afterPause(m.EchoMs) {
 		c.trace(r, "grant for backend server %s rejected: expired, sent before a pause of this host, or the server is leaving", m.Backend)
 		c.returnGrant(from, m)
 		c.backOff(r)
@@ -329,7 +329,7 @@
 	}
 	switch r.phase {
 	case dispatched, suspending:
-		return // the traffic side cancels the request and reports Ended
+		return // the traffic side cancels the request and reports DispatchEnded
 	default:
 		c.trace(r, "caller closed the connection")
 		c.abandon(r)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -5,36 +5,36 @@
 	"fireflyshift/internal/router"
 )
 
-// operators is what operators see of the host; it implements admin.Source.
-type operators struct {
+// adminSource implements admin.Source with the state of a host.
+type adminSource struct {
 	node  *Node
 	trail func(id string) []core.TraceEvent
 }
 
 // Ready implements admin.Source.
-func (o operators) Ready() bool { return o.node.ready() }
+func (o adminSource) Ready() bool { return o.node.ready() }
 
-// Healthy implements admin.Source: the control thread answers.
-func (o operators) Healthy() bool { return o.node.control.ask(func(*router.Router) {}) }
+// Healthy implements admin.Source. It reports whether the control thread responds.
+func (o adminSource) Healthy() bool { return o.node.control.query(func(*router.Router) {}) }
 
 // Explain implements admin.Source.
-func (o operators) Explain(id string) ([]core.TraceEvent, bool) { return o.trail(id), true }
+func (o adminSource) Explain(id string) ([]core.TraceEvent, bool) { return o.trail(id), true }
 
 // Status implements admin.Source.
-func (o operators) Status() (core.Status, bool) {
+func (o adminSource) Status() (core.Status, bool) {
 	var v router.View
-	if !o.node.control.ask(func(r *router.Router) { v = r.View() }) {
+	if !o.node.control.query(func(r *router.Router) { v = r.View() }) {
 		return core.Status{}, false
 	}
 	s := core.Status{Host: o.node.set.Name, Zone: o.node.set.Zone, Ready: v.Ready, Draining: v.Draining, UptimeMS: v.Now.Milliseconds(),
 		Revision: v.Version, Digest: v.Digest, Reading: v.Reading, PlatformOK: v.StoreOK, Requests: v.Requests, Violations: v.Violations,
 		StoreAgeMS: v.StoreAge.Milliseconds(), StoreEra: v.Era}
 	for _, p := range v.Peers {
-		s.Peers = append(s.Peers, core.PeerStatus{Host: p.Host, Zone: p.Zone, Addr: p.Host, Alive: p.Heard, AgeMS: p.Age.Milliseconds()})
+		s.Peers = append(s.Peers, core.PeerStatus{Host: p.Host, Zone: p.Zone, Addr: p.Host, Alive: p.Reachable, AgeMS: p.Age.Milliseconds()})
 	}
 	for _, q := range v.Quarantined {
 		s.Quarantined = append(s.Quarantined, core.QuarantineStatus{Digest: q.Digest, Workspace: q.Workspace, Ends: q.Ends,
-			AgeMS: q.Age.Milliseconds(), NextTrialMS: q.Back.Milliseconds()})
+			AgeMS: q.Age.Milliseconds(), NextTrialMS: q.TrialIn.Milliseconds()})
 	}
 	s.Suspects = v.Suspects
 	for _, b := range v.Backends {
--- a/internal/quarantine/judge_test.go
+++ b/internal/quarantine/blame_test.go
@@ -15,7 +15,7 @@
 	blamed, explained := map[Digest]bool{}, map[uint32]bool{}
 	for {
 		var worst *Case
-		most := minEndsToBlame - 1
+		highest := minEndsToBlame - 1
 		for _, c := range l.cases {
 			n := 0
 			for _, e := range c.Ends {
@@ -23,8 +23,8 @@
 					n++
 				}
 			}
-			if !blamed[c.Digest] && (n > most || (n == most && worst != nil && byDigest(c, worst) < 0)) {
-				worst, most = c, n
+			if !blamed[c.Digest] && (n > highest || (n == highest && worst != nil && byDigest(c, worst) < 0)) {
+				worst, highest = c, n
 			}
 		}
 		if worst == nil {
@@ -53,7 +53,8 @@
 	})
 }
 
-// fullLedger returns a ledger at its capacity: four workspaces with four requests for each set of three ends.
+// fullLedger returns a ledger at its capacity, in groups of four requests, one of each of four workspaces, that share
+// the same three ends.
 func fullLedger() *Ledger {
 	l := NewLedger()
 	for w := range maxCases / maxCasesPerWorkspace {
@@ -68,7 +69,7 @@
 
 // Requests that were in flight at the same ends explain them equally well; exactly one is blamed, and the same one on
 // all hosts.
-func TestEqualsAreToldApartByDigest(t *testing.T) {
+func TestExactlyOneOfEqualCausesIsBlamed(t *testing.T) {
 	l := fullLedger()
 	require.Len(t, l.cases, maxCases)
 	require.Len(t, l.Quarantined(), maxCasesPerWorkspace)
--- a/internal/router/bench_test.go
+++ b/internal/router/bench_test.go
@@ -9,7 +9,7 @@
 	"fireflyshift/internal/routing"
 )
 
-// BenchmarkDecision is one decision with its end, among engines of which each holds some requests.
+// BenchmarkDecision measures one decision and its end, among engines that hold some requests each.
 func BenchmarkDecision(b *testing.B) {
 	for _, engines := range []int{12, 112, 1000} {
 		b.Run(fmt.Sprintf("%d engines", engines), func(b *testing.B) {
@@ -22,22 +22,21 @@
 			r.Reduce(0, n)
 			for i, be := range r.allBackends() {
 				be.othersLoad.counts[0] = i % 5
-				be.learnInterval(time.Duration(10+i%7) * time.Millisecond)
-				be.learnRead(time.Duration(10+i%5) * time.Microsecond)
+				be.learnEventInterval(time.Duration(10+i%7) * time.Millisecond)
+				be.learnPrefill(time.Duration(10+i%5) * time.Microsecond)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				id := uint64(i + 1)
-				r.Reduce(time.Second, Submit{ID: id, Route: urgent, PromptTok: 2000, OutputTok: 300, Deadline: 10 * time.Second})
+				r.Reduce(time.Second, Submit{ID: id, Route: urgentRoute, PromptTok: 2000, OutputTok: 300, Deadline: 10 * time.Second})
 				r.Reduce(time.Second, CallerLeft{ID: id})
 			}
 		})
 	}
 }
 
-// BenchmarkOccupancy is one word of an owner on ten of a fleet's backend servers. It must not cost more with those that it does
-// not name.
+// BenchmarkOccupancy measures one owner's report on ten backend servers. Its cost must not grow with those not listed.
 func BenchmarkOccupancy(b *testing.B) {
 	for _, engines := range []int{120, 3000} {
 		b.Run(fmt.Sprintf("%d engines", engines), func(b *testing.B) {
@@ -48,15 +47,15 @@
 				n.Backends = append(n.Backends, changeOf(fmt.Sprintf("f%04d", i), 60, false))
 			}
 			h.Reduce(z.now, n)
-			word := &gossippb.Occupancy{}
+			occupancy := &gossippb.Occupancy{}
 			for _, be := range h.allBackends()[:10] {
-				word.Loads = append(word.Loads, be.carried().toProto(be.hash))
+				occupancy.Loads = append(occupancy.Loads, be.totalLoad().toProto(be.hash))
 			}
 			from := h.zonePeers()[0]
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				h.Reduce(z.now, OccupancyReceived{from, word})
+				h.Reduce(z.now, OccupancyReceived{from, occupancy})
 			}
 		})
 	}
--- a/internal/router/cold.go
+++ b/internal/router/cold.go
@@ -9,35 +9,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A backend server that has just started bears few requests a second and crashes at a rate well above that, and the operators
-// bound what all hosts together send it. A few hosts, which each host computes, send there at all, each a fixed part of
-// the rate: nothing is counted between hosts, so that a cut, a late word or a restart adds nothing.
+// A backend server that has just started handles only a few requests per second and crashes at a rate well above that, so
+// operators limit the rate of all hosts together. Only a few hosts, computed by every host alike, send to a cold backend server,
+// each with a fixed share of the rate. Hosts share no counters, so a network cut, a late message or a restart adds no requests.
 
 const (
-	// coldSenders bounds the hosts that send to a cold backend server.
-	coldSenders = 4
-	// coldAge is how long a host must have run to be one of them: it has heard of its zone mates by then, and what an
-	// earlier process of it sent is more than a second old.
-	coldAge = 2 * time.Second
-	// coldMargin is the part of what operators allow beyond the rate that hosts may have saved up: some hosts compute others, or decided just before
-	// they heard that a backend server is cold.
-	coldMargin = 0.5
+	// maxColdSenders limits the hosts that send to a cold backend server.
+	maxColdSenders = 4
+	// minColdSenderAge is how long a host must have run to be one of them. By then it knows its zone peers, and
+	// anything sent by its previous process is more than a second old.
+	minColdSenderAge = 2 * time.Second
+	// coldBurstShare is the share of the operators' allowance beyond the rate that hosts may use for saved tokens.
+	// The rest covers hosts that compute other senders or decided just before they learned that a server is cold.
+	coldBurstShare = 0.5
 )
 
-// coldState is what this host knows of a backend server that is cold.
+// coldState is the state of a cold backend server, with a token bucket for the requests of this host.
 type coldState struct {
 	until time.Duration
-	// rate is how many requests a second this host may send there, and level how many it has saved up, at most one.
-	rate, level float64
-	at          time.Duration
+	// rate is the number of requests per second that this host may send, and tokens those it has saved up, at
+	// most one.
+	rate, tokens float64
+	refilledAt   time.Duration
 }
 
-// cold tells whether a backend server bears few requests only.
+// cold reports whether a backend server is limited to a few requests because it has just started.
 func (b *backend) cold(now time.Duration) bool { return now < b.warming.until }
 
-// coldBound is how many requests a second a cold backend server bears; zero where there is no bound. It is not known before
-// the configuration is.
-func (r *Router) coldBound(b *backend) (rate float64, known bool) {
+// coldRateLimit returns the rate limit of a cold backend server in requests per second, zero if there is none.
+// It is unknown until the configuration is known.
+func (r *Router) coldRateLimit(b *backend) (rate float64, known bool) {
 	if r.table == nil {
 		return 0, false
 	}
@@ -47,19 +48,19 @@
 	return 0, true
 }
 
-// presumeCold takes a backend server for cold that may be, though nothing says so yet.
-func (r *Router) presumeCold(b *backend) {
+// assumeCold treats a backend server as cold without a report of it.
+func (r *Router) assumeCold(b *backend) {
 	if s := r.serviceConfig(b); s != nil && b.warming.until < r.now+s.ColdFor {
 		r.setCold(b, s.ColdFor, "presumed")
 	}
 }
 
-// setCold takes that a backend server is cold for so long, or is warm.
-func (r *Router) setCold(b *backend, left time.Duration, by string) {
+// setCold marks a backend server as cold for the given time, or as warm if that is not positive.
+func (r *Router) setCold(b *backend, left time.Duration, reason string) {
 	was := b.cold(r.now)
-	if rate, known := r.coldBound(b); left <= 0 || (known && rate <= 0) {
+	if rate, known := r.coldRateLimit(b); left <= 0 || (known && rate <= 0) {
 		if was {
-			r.warmed(b, by)
+			r.markWarm(b, reason)
 		}
 		return
 	}
@@ -68,53 +69,53 @@
 	if was {
 		return
 	}
-	b.warming.at, b.warming.level = r.now, 1
-	b.warming.rate = r.coldRate(b)
+	b.warming.refilledAt, b.warming.tokens = r.now, 1
+	b.warming.rate = r.hostColdRate(b)
 	r.emit(Note{What: "backend server is cold", Subject: b.ID,
-		Detail: by + " " + left.String() + " rate=" + strconv.FormatFloat(b.warming.rate, 'f', 2, 64)})
+		Detail: reason + " " + left.String() + " rate=" + strconv.FormatFloat(b.warming.rate, 'f', 2, 64)})
 }
 
-func (r *Router) warmed(b *backend, by string) {
+func (r *Router) markWarm(b *backend, reason string) {
 	b.warming = coldState{}
 	delete(r.warming, b.ID)
-	r.emit(Note{What: "backend server is warm", Subject: b.ID, Detail: by})
+	r.emit(Note{What: "backend server is warm", Subject: b.ID, Detail: reason})
 }
 
-// expireCold notes which backend servers are warm by now, and computes this host's part for the others.
-func (r *Router) expireCold() {
+// updateCold marks backend servers as warm when their time has passed and updates this host's rate for the others.
+func (r *Router) updateCold() {
 	for _, id := range slices.Sorted(maps.Keys(r.warming)) {
 		b := r.warming[id]
-		bound, known := r.coldBound(b)
+		bound, known := r.coldRateLimit(b)
 		switch {
 		case !b.cold(r.now):
-			r.warmed(b, "time")
+			r.markWarm(b, "time")
 		case known && bound <= 0:
-			r.warmed(b, "configuration")
+			r.markWarm(b, "configuration")
 		default:
 			r.refillCold(b)
-			b.warming.rate = r.coldRate(b)
+			b.warming.rate = r.hostColdRate(b)
 		}
 	}
 }
 
-// coldRate is this host's part of the rate of a cold backend server; zero where others send there.
-func (r *Router) coldRate(b *backend) float64 {
-	bound, _ := r.coldBound(b)
-	if bound <= 0 || r.now < coldAge || !r.exchangesHeartbeats(b.Zone) || r.hearsNobody() {
+// hostColdRate returns this host's share of the rate of a cold backend server, zero if it is not a sender.
+func (r *Router) hostColdRate(b *backend) float64 {
+	bound, _ := r.coldRateLimit(b)
+	if bound <= 0 || r.now < minColdSenderAge || !r.exchangesHeartbeats(b.Zone) || r.noPeersSeen() {
 		return 0
 	}
-	allowed := bound*max(1, r.opt.Bounds.ColdOver) + r.opt.Bounds.ColdSlack
-	// Each may have saved one up, beside what flows in during a second.
-	senders := min(coldSenders, max(1, int(coldMargin*(allowed-bound))))
+	allowed := bound*max(1, r.opt.Bounds.ColdOverage) + r.opt.Bounds.ColdSlack
+	// Each sender may have saved one token, besides those that accrue during a second.
+	senders := min(maxColdSenders, max(1, int(coldBurstShare*(allowed-bound))))
 	before, hosts := 0, 1
-	mine := coldRank(b.hash, r.opt.Host)
+	mine := coldSenderRank(b.hash, r.opt.Host)
 	for _, h := range r.members.order {
 		m := r.members.byHost[h]
 		if !r.exchangesHeartbeats(m.zone) {
 			continue
 		}
 		hosts++
-		if coldRank(b.hash, h) < mine {
+		if coldSenderRank(b.hash, h) < mine {
 			before++
 		}
 	}
@@ -125,36 +126,38 @@
 	return max(0, min(bound, allowed-float64(senders))) / float64(senders)
 }
 
-// hearsNobody tells that this host has heard no other since its start though there are some: it cannot know who sends what.
-func (r *Router) hearsNobody() bool {
+// noPeersSeen reports whether this host has seen no other host since its start although it has seeds. It then
+// cannot know which hosts send.
+func (r *Router) noPeersSeen() bool {
 	return len(r.members.order) == 0 && slices.ContainsFunc(r.opt.Seeds, func(h string) bool { return h != r.opt.Host })
 }
 
-// coldRank orders hosts for a backend server, those that are not heard too: who is only cut off still sends.
-func coldRank(backend uint32, host string) uint64 {
+// coldSenderRank orders hosts for a backend server. Unreachable hosts are included because they may only be
+// disconnected and still send.
+func coldSenderRank(backend uint32, host string) uint64 {
 	return xxhash.Sum64String(host + "|cold " + strconv.FormatUint(uint64(backend), 36))
 }
 
 func (r *Router) refillCold(b *backend) {
 	w := &b.warming
-	w.level = min(1, w.level+w.rate*(r.now-w.at).Seconds())
-	w.at = r.now
+	w.tokens = min(1, w.tokens+w.rate*(r.now-w.refilledAt).Seconds())
+	w.refilledAt = r.now
 }
 
-// bears tells whether this host may send a backend server one more request now.
-func (r *Router) bears(b *backend) bool {
+// coldTokenAvailable reports whether this host may send one more request to a backend server now.
+func (r *Router) coldTokenAvailable(b *backend) bool {
 	if !b.cold(r.now) {
 		return true
 	}
 	r.refillCold(b)
-	return b.warming.rate > 0 && b.warming.level >= 1
+	return b.warming.rate > 0 && b.warming.tokens >= 1
 }
 
-// spendCold counts a request that is sent to a backend server while it is cold.
-func (r *Router) spendCold(b *backend) {
+// takeColdToken takes a token for a request to a cold backend server.
+func (r *Router) takeColdToken(b *backend) {
 	if !b.cold(r.now) {
 		return
 	}
-	r.invariants.Check(r.bears(b), "cold backend server %s gets more than this host's part", b.ID)
-	b.warming.level--
+	r.invariants.Check(r.coldTokenAvailable(b), "cold backend server %s gets more than this host's share of its rate", b.ID)
+	b.warming.tokens--
 }
--- a/internal/router/cold_test.go
+++ b/internal/router/cold_test.go
@@ -20,9 +20,9 @@
 	testColdBound = testColdRate*1.5 + 5
 )
 
-var coldBounds = Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, ColdOver: 1.5, ColdSlack: 5}
+var coldBounds = Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, ColdOverage: 1.5, ColdSlack: 5}
 
-// coldFleet is a fleet whose backend servers bear few requests after their start.
+// coldFleet is a fleet whose backend servers have a rate limit after their start.
 type coldFleet struct {
 	*zone
 	revision uint64
@@ -42,8 +42,8 @@
 	return f
 }
 
-// back tells hosts that read the store that the engines of a zone have started again, all at once.
-func (f *coldFleet) back(zone int, readers ...*zoneHost) {
+// enginesReturn reports to the given store readers that all engines of a zone have just restarted.
+func (f *coldFleet) enginesReturn(zone int, readers ...*zoneHost) {
 	n := Update{FromStore: true, After: rev(f.revision)}
 	for i := zone * f.engines; i < (zone+1)*f.engines; i++ {
 		f.revision++
@@ -57,7 +57,7 @@
 	}
 }
 
-// zoneHosts are the hosts of one zone.
+// zoneHosts returns the hosts of one zone.
 func (f *coldFleet) zoneHosts(zone int) []*zoneHost {
 	per := 0
 	for _, h := range f.hosts {
@@ -68,7 +68,7 @@
 	return f.hosts[zone*per : (zone+1)*per]
 }
 
-// restartHosts kills all hosts and starts them again with what the store says.
+// restartHosts replaces the processes of hosts, with the store's present content.
 func (f *coldFleet) restartHosts(hosts []*zoneHost) {
 	all := Update{FromStore: true, Full: true, AsOf: rev(f.revision), Revision: rev(f.revision), Changes: routing.Changes{Config: f.config}}
 	for _, b := range f.hosts[0].r.allBackends() {
@@ -78,13 +78,13 @@
 	}
 	for _, h := range hosts {
 		h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: h.r.opt.Incarnation + 1000, Seed: h.r.opt.Seed + 1000, Seeds: h.r.opt.Seeds, Bounds: coldBounds})
-		h.born = f.now
+		h.startedAt = f.now
 		f.post(h, all)
 	}
 }
 
-// crowded is the most requests that were sent to one of a zone's engines in a second since a moment, and sent all together.
-func (f *coldFleet) crowded(zone int, since, until time.Duration) (most, sent int) {
+// maxSentPerSecond returns the most requests sent to one of a zone's engines within a second, and the total sent.
+func (f *coldFleet) maxSentPerSecond(zone int, since, until time.Duration) (most, sent int) {
 	for i := zone * f.engines; i < (zone+1)*f.engines; i++ {
 		var at []time.Duration
 		for _, when := range f.sends[fmt.Sprintf("e%03d", i)] {
@@ -103,93 +103,93 @@
 	return most, sent
 }
 
-// Fifteen backend servers of sixty are back at once, idle, in a fleet that is under load: each was the best choice of all hosts
-// and got more than twice what it bears. Few hosts send there, and each a part of the rate.
-func TestServersThatAreBackAtOnceAreNotRushed(t *testing.T) {
+// 15 of 60 backend servers return at once, idle, while the fleet is under load. Each was the best choice of all hosts
+// and got more than twice the rate it can handle. Now only a few hosts send there, each at a share of the rate.
+func TestServersThatAreBackAtOnceAreNotOverloaded(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
 	at := f.now
-	f.back(2, f.zoneHosts(2)[:2]...)
+	f.enginesReturn(2, f.zoneHosts(2)[:2]...)
 	f.run(testColdFor, 280)
-	most, sent := f.crowded(2, at, f.now)
-	require.LessOrEqual(t, float64(most), testColdRate+coldSenders)
-	require.Greater(t, sent, 15, "they are of use while they are cold")
+	most, sent := f.maxSentPerSecond(2, at, f.now)
+	require.LessOrEqual(t, float64(most), testColdRate+maxColdSenders)
+	require.Greater(t, sent, 15, "they serve requests while cold")
 	f.run(2*time.Second, 280)
-	_, after := f.crowded(2, at+testColdFor, f.now)
-	require.Greater(t, after/2, sent/3, "a second, and no longer held back")
+	_, after := f.maxSentPerSecond(2, at+testColdFor, f.now)
+	require.Greater(t, after/2, sent/3, "a second, once no longer limited")
 }
 
-// All hosts are killed in the moment in which a zone's backend servers are back. Each host that starts knows of no other and
-// would take the whole rate for itself.
-func TestRestartOfAllHostsRushesNoColdServer(t *testing.T) {
+// All hosts crash when a zone's backend servers have just returned. Each restarted host knows no other and would take
+// the whole rate for itself.
+func TestRestartOfAllHostsOverloadsNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
 	at := f.now
-	f.back(2, f.hosts...)
+	f.enginesReturn(2, f.hosts...)
 	f.run(time.Second, 280)
 	f.runs = map[uint64]*zoneRun{} // their callers' connections are closed
 	f.restartHosts(f.hosts)
 	f.run(testColdFor, 280)
-	most, _ := f.crowded(2, at, f.now)
+	most, _ := f.maxSentPerSecond(2, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdBound)
 }
 
-// A zone whose backend servers are cold is cut off from the others, and its hosts from each other. Each decides alone, and none
-// takes what belongs to the others.
-func TestHostsThatAreCutOffRushNoColdServer(t *testing.T) {
+// All hosts are disconnected from each other when a zone's backend servers return cold. None may take the rate that
+// belongs to the others.
+func TestHostsThatAreCutOffOverloadNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 4, 17, 15)
 	f.run(2*time.Second, 280)
-	f.lost = func(from, to string, _ *gossippb.Packet) bool { return true }
+	f.drops = func(from, to string, _ *gossippb.Packet) bool { return true }
 	f.run(5*time.Second, 280)
 	at := f.now
-	f.back(2, f.hosts...)
+	f.enginesReturn(2, f.hosts...)
 	f.run(testColdFor, 280)
-	most, _ := f.crowded(2, at, f.now)
+	most, _ := f.maxSentPerSecond(2, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdBound)
 }
 
-// Whatever the size of the fleet, however many hosts restart and whoever is cut off, a cold backend server gets no more than the
-// operators allow in any second.
+// A cold backend server gets no more than the operators allow in any second, for any size of fleet, number of
+// restarting hosts and share of lost datagrams.
 func TestColdServersInAnyFleet(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		zones := rapid.IntRange(1, 2).Draw(rt, "zones")
 		hosts := rapid.SampledFrom([]int{1, 2, 4, 9, 17}).Draw(rt, "hosts a zone")
 		perSecond := rapid.SampledFrom([]int{50, 200, 500}).Draw(rt, "requests a second")
 		f := newColdFleet(t, zones, hosts, 3)
-		cut := rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(rt, "share of datagrams that are lost")
-		f.lost = func(string, string, *gossippb.Packet) bool { return f.rng.Float64() < cut }
+		lossRate := rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(rt, "share of datagrams that are lost")
+		f.drops = func(string, string, *gossippb.Packet) bool { return f.rng.Float64() < lossRate }
 		f.run(time.Second, perSecond)
 		at := f.now
-		f.back(0, f.hosts...)
+		f.enginesReturn(0, f.hosts...)
 		f.run(time.Duration(rapid.IntRange(0, 900).Draw(rt, "restart after ms"))*time.Millisecond, perSecond)
-		again := f.zoneHosts(0)[:rapid.IntRange(0, hosts).Draw(rt, "hosts that restart")]
+		restarting := f.zoneHosts(0)[:rapid.IntRange(0, hosts).Draw(rt, "hosts that restart")]
 		for id, run := range f.runs {
-			if slices.Contains(again, run.host) {
-				f.held[run.engine]--
+			if slices.Contains(restarting, run.host) {
+				f.streams[run.engine]--
 				delete(f.runs, id)
 			}
 		}
-		f.restartHosts(again)
+		f.restartHosts(restarting)
 		f.run(testColdFor, perSecond)
-		most, _ := f.crowded(0, at, at+testColdFor)
+		most, _ := f.maxSentPerSecond(0, at, at+testColdFor)
 		require.LessOrEqual(rt, float64(most), testColdBound)
 	})
 }
 
-// A small fleet has cold backend servers only, as after a restart of all of them: it serves at the rate that they bear.
+// All backend servers of a small fleet are cold, as after a restart of all of them. They are used at their limited rate.
 func TestColdServersAreUsedWhereThereAreNoOthers(t *testing.T) {
 	f := newColdFleet(t, 1, 3, 2)
 	at := f.now
-	f.back(0, f.hosts...)
+	f.enginesReturn(0, f.hosts...)
 	f.run(testColdFor, 300)
-	most, sent := f.crowded(0, at, f.now)
+	most, sent := f.maxSentPerSecond(0, at, f.now)
 	require.LessOrEqual(t, float64(most), testColdBound)
 	require.GreaterOrEqual(t, sent, int(math.Floor(2*testColdRate*testColdFor.Seconds()*0.7)))
 	require.Positive(t, f.refused)
 }
 
-// A host that has just started knows few of those who send to cold backend servers, and what it sent before its start.
-func TestYoungHostSendsNothingToColdServers(t *testing.T) {
+// A host that has just started knows neither the other senders nor what its previous process sent.
+func TestRecentlyStartedHostSendsNothingToColdServers(t *testing.T) {
 	r := New(Options{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seed: 1, Seeds: []string{"10.0.0.2"}, Bounds: coldBounds})
 	cold := changeOf("cold", 20, false)
 	cold.Cold = 10 * time.Second
@@ -197,74 +197,74 @@
 		Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: testColdRate}}}, Backends: []routing.BackendChange{cold}}})
 	r.Reduce(time.Second, HeartbeatReceived{Heartbeat: &gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 1}})
 	r.Reduce(time.Second, Tick{})
-	_, refused := has[Refuse](submitted(r, 1, time.Second))
+	_, refused := findEffect[Refuse](submitted(r, 1, time.Second))
 	require.True(t, refused)
-	r.Reduce(coldAge+time.Second, Tick{})
-	dispatchOf(t, submitted(r, 2, coldAge+time.Second))
+	r.Reduce(minColdSenderAge+time.Second, Tick{})
+	dispatchOf(t, submitted(r, 2, minColdSenderAge+time.Second))
 }
 
-// An owner has no places at cold backend servers for others: who asks may be any host.
+// Owners grant no slots at cold backend servers: any host may request one, though only a few may send there.
 func TestOwnersOfferNoColdServer(t *testing.T) {
 	f := newColdFleet(t, 1, 20, 23)
-	asker := f.hosts[0]
-	question, owner := f.question(asker)
-	f.back(0, f.byIP[owner])
-	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
+	requester := f.hosts[0]
+	slotRequest, owner := f.requestSlot(requester)
+	f.enginesReturn(0, f.byIP[owner])
+	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{requester.ip, slotRequest}))
 	require.Nil(t, offers[0].Place)
 }
 
-// An owner offers a place before it hears that the backend server has started again.
+// An owner grants a slot before it learns that the backend server has restarted. The slot is returned.
 func TestOffersOfColdServersAreNotUsed(t *testing.T) {
 	f := newColdFleet(t, 1, 20, 23)
-	asker := f.hosts[0]
-	question, owner := f.question(asker)
-	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{asker.ip, question}))
+	requester := f.hosts[0]
+	slotRequest, owner := f.requestSlot(requester)
+	offers := offersOf(f.byIP[owner].r.Reduce(f.now, SlotRequestReceived{requester.ip, slotRequest}))
 	require.NotNil(t, offers[0].Place)
-	f.back(0, asker)
-	out := asker.r.Reduce(f.now, SlotOfferReceived{owner, offers[0]})
-	if d, ok := has[Dispatch](out); ok {
-		require.NotEqual(t, offers[0].Place.Backend, asker.r.backends[d.Backend.ID].hash)
+	f.enginesReturn(0, requester)
+	out := requester.r.Reduce(f.now, SlotOfferReceived{owner, offers[0]})
+	if d, ok := findEffect[Dispatch](out); ok {
+		require.NotEqual(t, offers[0].Place.Backend, requester.r.backends[d.Backend.ID].hash)
 	}
-	require.True(t, givesBack(out, offers[0].Place.Backend))
+	require.True(t, releasesSlot(out, offers[0].Place.Backend))
 }
 
-// A registration tells how long a backend server is still cold, and a later one that it is warm.
-func TestRegistrationsTellWhoIsCold(t *testing.T) {
-	r := lone(t, "a")
+// A registration states how long a backend server stays cold. A later one can state that it is warm.
+func TestRegistrationsStateWhichServersAreCold(t *testing.T) {
+	r := newStandalone(t, "a")
 	r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 		Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: testColdRate}}}}})
 	ch := changeOf("a", 60, false)
 	ch.Cold = 2 * time.Second
-	registers(r, time.Second, ch)
+	register(r, time.Second, ch)
 	require.True(t, r.backends["a"].cold(r.now))
 	require.Equal(t, "cold", r.View().Backends[0].State)
 	r.Reduce(2*time.Second, Tick{})
-	require.Equal(t, time.Second, r.Snapshot(Since{}).Backends[0].Cold, "others hear what is left")
+	require.Equal(t, time.Second, r.Snapshot(Since{}).Backends[0].Cold, "the remaining time is sent to other hosts")
 	r.Reduce(3500*time.Millisecond, Tick{})
 	require.False(t, r.backends["a"].cold(r.now))
 	ch.Revision, ch.Cold = rev(61), time.Minute
-	registers(r, 4*time.Second, ch)
+	register(r, 4*time.Second, ch)
 	require.True(t, r.backends["a"].cold(r.now))
-	registers(r, 5*time.Second, changeOf("a", 62, false))
+	register(r, 5*time.Second, changeOf("a", 62, false))
 	require.False(t, r.backends["a"].cold(r.now))
 }
 
-// Operators may allow one request in a second and less than two, or none beyond the rate.
+// Bounds that allow one to less than two requests per second, or none beyond the rate, hold too.
 func TestColdServersWithTightBounds(t *testing.T) {
 	for _, b := range []struct{ rate, over, slack float64 }{{1, 1.5, 0}, {0.5, 1, 1}, {20, 1, 0}, {3, 0, 0}, {0.2, 1, 0}} {
-		r := lone(t, "a")
-		r.opt.Bounds.ColdOver, r.opt.Bounds.ColdSlack = b.over, b.slack
+		r := newStandalone(t, "a")
+		r.opt.Bounds.ColdOverage, r.opt.Bounds.ColdSlack = b.over, b.slack
 		r.Reduce(0, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 			Services: []routing.Service{{Name: "m", Model: true, ColdFor: testColdFor, ColdRate: b.rate}}}}})
 		ch := changeOf("a", 60, false)
 		ch.Cold = time.Minute
-		registers(r, 5*time.Second, ch)
+		register(r, 5*time.Second, ch)
 		var sent []time.Duration
 		id := uint64(0)
 		for now := 5 * time.Second; now < 15*time.Second; now += 10 * time.Millisecond {
 			r.Reduce(now, Tick{})
 			id++
-			if _, ok := has[Dispatch](submitted(r, id, now)); ok {
+			if _, ok := findEffect[Dispatch](submitted(r, id, now)); ok {
 				sent = append(sent, now)
 				r.Reduce(now, CallerLeft{ID: id})
 			}
@@ -279,11 +279,11 @@
 	}
 }
 
-// Plain servers may say for how long they are slow after a start, and bear as much as ever.
+// Servers of a plain service may register a cold period, but without a rate limit they are not treated as cold.
 func TestServersWithoutABoundAreNotCold(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	ch := changeOf("a", 60, false)
 	ch.Cold = time.Minute
-	registers(r, time.Second, ch)
+	register(r, time.Second, ch)
 	require.False(t, r.backends["a"].cold(r.now))
 }
--- a/internal/router/era_test.go
+++ b/internal/router/era_test.go
@@ -14,7 +14,7 @@
 
 func inEra(era, number uint64) routing.Revision { return routing.Revision{Era: era, Number: number} }
 
-// servers are registrations at a revision.
+// servers returns registrations at a revision.
 func servers(at routing.Revision, ids ...string) routing.Changes {
 	var c routing.Changes
 	for _, id := range ids {
@@ -25,7 +25,7 @@
 	return c
 }
 
-// listing is what a reader of the store posts.
+// listing is the update that a reader of the store posts for a complete listing.
 func listing(asOf routing.Revision, c routing.Changes) Update {
 	return Update{FromStore: true, Full: true, AsOf: asOf, Changes: c}
 }
@@ -39,10 +39,10 @@
 	return ok
 }
 
-// The store comes back thirty revisions older. What it says from then on must be taken, though the numbers are lower than
-// those that were known; a peer that has not heard of it must not bring the lost ones back.
+// The store is restored thirty revisions back. Its changes must be applied from then on, though their numbers are lower than
+// known ones. A peer that does not know of this must not restore what was lost.
 func TestLaterEraGoesFirst(t *testing.T) {
-	r := lone(t, "a", "b") // at 10, as of 50
+	r := newStandalone(t, "a", "b") // registered at revision 10, complete as of 50
 	r.Reduce(12*time.Second, listing(inEra(2, 20), servers(inEra(2, 10), "a", "b")))
 	c := servers(inEra(2, 21), "new")
 	gone := changeOf("b", 0, true)
@@ -54,35 +54,35 @@
 	r.Reduce(14*time.Second, Update{After: rev(0), AsOf: rev(90), Revision: rev(90), Changes: servers(rev(80), "b", "ghost")})
 	require.False(t, usable(r, "b"))
 	require.False(t, usable(r, "ghost"))
-	require.Equal(t, inEra(2, 22), r.updates.complete)
+	require.Equal(t, inEra(2, 22), r.updates.completeTo)
 }
 
-// A host has heard that a server leaves; the copy is older and says that it is ready, as does what comes later of the same
-// start. A server that the host knew to have left is listed in the copy too.
+// A host knows that a server is leaving, while the older copy lists it as ready, as does a later registration of the same
+// start. A server that the host knows to have left is listed in the copy too.
 func TestOlderCopyIsNoEvidence(t *testing.T) {
-	r := lone(t, "leaves", "left", "stays")
+	r := newStandalone(t, "leaves", "left", "stays")
 	drain := changeOf("leaves", 60, false)
 	drain.Draining = true
-	registers(r, 12*time.Second, drain)
-	registers(r, 12*time.Second, changeOf("left", 61, true))
+	register(r, 12*time.Second, drain)
+	register(r, 12*time.Second, changeOf("left", 61, true))
 	r.Reduce(13*time.Second, listing(inEra(1, 20), servers(inEra(1, 10), "leaves", "left", "stays")))
 	require.True(t, usable(r, "stays"))
 	require.False(t, usable(r, "leaves"))
 	require.False(t, usable(r, "left"))
 	r.Reduce(14*time.Second, Update{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 31), Changes: servers(inEra(1, 31), "leaves", "left")})
 	require.False(t, usable(r, "leaves"))
-	require.True(t, usable(r, "left"), "it lives, as it has written anew")
+	require.True(t, usable(r, "left"), "it is alive, as it has registered again")
 }
 
-// A server has joined in the seconds that the store has lost. It is used on, as it lives and writes again; one that does not
-// within the time that the operators state is gone.
+// A server has joined in the seconds that the store has lost. It stays in use, as it is alive and registers again; one that does
+// not within lostBackendTTL is removed.
 func TestLostServersHaveTimeToWriteAgain(t *testing.T) {
-	r := lone(t, "old")
-	registers(r, time.Second, changeOf("lives", 51, false))
-	registers(r, time.Second, changeOf("ended", 52, false))
+	r := newStandalone(t, "old")
+	register(r, time.Second, changeOf("lives", 51, false))
+	register(r, time.Second, changeOf("ended", 52, false))
 	at := 12 * time.Second
 	out := r.Reduce(at, listing(inEra(1, 20), servers(inEra(1, 10), "old")))
-	note := noteOf(out, "store is back from an older copy")
+	note := noteOf(out, "store restored from an older copy")
 	require.NotNil(t, note)
 	require.Equal(t, "store", note.Subject)
 	require.Contains(t, note.Detail, "1/20 after 0/52")
@@ -90,7 +90,7 @@
 		require.True(t, usable(r, id), id)
 	}
 	r.Reduce(at+time.Second, Update{FromStore: true, After: inEra(1, 20), AsOf: inEra(1, 21), Changes: servers(inEra(1, 21), "lives")})
-	r.Reduce(at+eraPatience, Tick{})
+	r.Reduce(at+lostBackendTTL, Tick{})
 	require.True(t, usable(r, "lives"))
 	require.False(t, usable(r, "ended"))
 }
@@ -104,37 +104,37 @@
 	return nil
 }
 
-// A host that the store refuses hears of the era by its peers' beats and asks them, also where the copy lists nobody. What it
-// is told lacks the servers that the copy lacks, and they have their time there too.
-func TestPeersHearOfAnEra(t *testing.T) {
-	reader, refused := lone(t, "a"), lone(t, "a")
+// A host that the store refuses learns of the era from its peers' heartbeats and pulls, even if the copy lists no server. The
+// update lacks the servers that the copy lacks, and they are kept for lostBackendTTL there too.
+func TestPeersLearnOfAnEra(t *testing.T) {
+	reader, refused := newStandalone(t, "a"), newStandalone(t, "a")
 	reader.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{}))
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: reader.updates.revision.Number,
 			Era: reader.updates.revision.Era, Digest: 7}
 	}
 	refused.Reduce(2*time.Second, HeartbeatReceived{beat(1)})
-	pull, ok := has[Pull](refused.Reduce(2*time.Second+pullAfter, HeartbeatReceived{beat(2)}))
+	pull, ok := findEffect[Pull](refused.Reduce(2*time.Second+pullDelay, HeartbeatReceived{beat(2)}))
 	require.True(t, ok)
 	require.Equal(t, rev(50), pull.Revision)
-	news := reader.Snapshot(pull.Since)
-	data, err := json.Marshal(news)
+	update := reader.Snapshot(pull.Since)
+	data, err := json.Marshal(update)
 	require.NoError(t, err)
-	var told Update
-	require.NoError(t, json.Unmarshal(data, &told))
-	told.From = "10.0.0.9"
-	out := refused.Reduce(3*time.Second, told)
-	require.Equal(t, "10.0.0.9", noteOf(out, "store is back from an older copy").Subject)
-	require.Equal(t, inEra(1, 20), refused.updates.complete)
+	var received Update
+	require.NoError(t, json.Unmarshal(data, &received))
+	received.From = "10.0.0.9"
+	out := refused.Reduce(3*time.Second, received)
+	require.Equal(t, "10.0.0.9", noteOf(out, "store restored from an older copy").Subject)
+	require.Equal(t, inEra(1, 20), refused.updates.completeTo)
 	require.True(t, usable(refused, "a"))
-	refused.Reduce(3*time.Second+eraPatience, Tick{})
+	refused.Reduce(3*time.Second+lostBackendTTL, Tick{})
 	require.False(t, usable(refused, "a"))
 }
 
-// A configuration of before the copy stays in force until a later one comes: its keys, routes and quotas were taken away
-// on purpose.
-func TestConfigurationOutlivesAnOlderCopy(t *testing.T) {
-	r := lone(t, "a")
+// A configuration from before the restore stays in force until a later one arrives: keys, routes and quotas that the older copy
+// still has were removed on purpose.
+func TestOlderCopyDoesNotRevertTheConfiguration(t *testing.T) {
+	r := newStandalone(t, "a")
 	r.Reduce(time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(70), Changes: routing.Changes{Config: &routing.Config{Version: 9}}})
 	r.Reduce(2*time.Second, listing(inEra(1, 20), routing.Changes{Config: &routing.Config{Version: 1}}))
 	require.EqualValues(t, 9, r.version())
@@ -142,21 +142,21 @@
 	require.EqualValues(t, 11, r.version())
 }
 
-// One host of each zone hears of the era from the store, which refuses the others. They hear of it in beats within a second and a
-// half, before they would compare what they hold.
-func TestBeatsTellTheEra(t *testing.T) {
+// One host of each zone learns of the era from the store, which refuses the others. They learn of it from heartbeats within a
+// second and a half, before they would pull because of a different digest.
+func TestHeartbeatsReportTheEra(t *testing.T) {
 	z := newZones(t, 2, 12, 4)
 	for _, h := range []*zoneHost{z.hosts[0], z.hosts[12]} {
 		z.post(h, listing(inEra(1, 20), servers(inEra(1, 10), "e001")))
 	}
 	pulls := map[string]bool{}
-	z.pulled = func(from string, p Pull) { pulls[from] = pulls[from] || p.Revision != (routing.Revision{}) }
+	z.onPull = func(from string, p Pull) { pulls[from] = pulls[from] || p.Revision != (routing.Revision{}) }
 	z.run(1500*time.Millisecond, 0)
-	require.Len(t, pulls, 22, "all others ask for what has come since")
+	require.Len(t, pulls, 22, "all others pull the changes since their revision")
 }
 
-// What the era costs in each beat: nothing in the first one.
-func TestEraIsCheapInBeats(t *testing.T) {
+// The era adds few bytes to each heartbeat, and none in the first era.
+func TestEraAddsFewBytesToHeartbeats(t *testing.T) {
 	b := &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: 1, ConfigVersion: 1, Revision: 4711, Digest: 7}
 	first := proto.Size(b)
 	b.Era = 100
--- a/internal/router/evacuations.go
+++ b/internal/router/evacuations.go
@@ -12,64 +12,65 @@
 )
 
 const (
-	// endToldFor is how long beats tell that an availability zone was taken back; who has not heard it by then finds by the
-	// digest that its news differ.
-	endToldFor = 10 * time.Second
-	// evacuationPatience is how long an evacuation stays that a later era of the store does not list: operators write again
-	// what an older copy has lost.
-	evacuationPatience = 10 * time.Second
-	// maxEvacuations bounds the zones that are remembered, as others' words name them.
+	// evacuationEndTTL is how long heartbeats carry the end of an evacuation. A host that has not received it by then notices by
+	// the digest that its state differs.
+	evacuationEndTTL = 10 * time.Second
+	// lostEvacuationTTL is how long an evacuation is kept that a later era of the store does not list. Operators repeat
+	// what a restored copy of the store has lost.
+	lostEvacuationTTL = 10 * time.Second
+	// maxEvacuations limits the zones that are remembered, as messages from other hosts may name any.
 	maxEvacuations = 64
 )
 
-// evacuation is the latest word of operators on whether an availability zone's backend servers may get requests.
+// evacuation is the latest decision of operators on whether an availability zone's backend servers may get requests.
 type evacuation struct {
 	routing.Evacuation
-	at time.Duration // when this host took it
+	at time.Duration // when this host learned of it
 }
 
-// print stands for the word in a digest. That a zone was taken back is none: a host that starts later need not know.
-func (e *evacuation) print() uint64 {
+// fingerprint is the evacuation's contribution to the digest. One that has ended contributes nothing, as a host that starts
+// later need not know of it.
+func (e *evacuation) fingerprint() uint64 {
 	if e.Ended {
 		return 0
 	}
 	return xxhash.Sum64String(e.Zone + "/" + e.Revision.String())
 }
 
-// evacuated tells whether nothing may be sent to an availability zone's backend servers.
+// evacuated reports whether an availability zone's backend servers may get no requests.
 func (r *Router) evacuated(zone string) bool {
 	e, ok := r.evacuations[zone]
 	return ok && !e.Ended
 }
 
-// takeEvacuation takes the word of the store or of a peer on one availability zone.
-func (r *Router) takeEvacuation(e routing.Evacuation, from string) {
+// applyEvacuation merges the evacuation state of one availability zone, sent by the store or a peer.
+func (r *Router) applyEvacuation(e routing.Evacuation, from string) {
 	known, ok := r.evacuations[e.Zone]
 	if ok && !e.Revision.After(known.Revision) {
 		return
 	}
-	if !ok && len(r.evacuations) >= maxEvacuations && !r.forgetEnded() {
-		r.emit(Note{What: "evacuation not taken: too many zones", Subject: e.Zone, Detail: from})
+	if !ok && len(r.evacuations) >= maxEvacuations && !r.evictEnded() {
+		r.emit(Note{What: "evacuation ignored: too many zones", Subject: e.Zone, Detail: from})
 		return
 	}
 	was := r.evacuated(e.Zone)
 	if ok {
-		r.updates.prints -= known.print()
+		r.updates.fingerprints -= known.fingerprint()
 	}
-	taken := &evacuation{e, r.now}
-	r.evacuations[e.Zone] = taken
-	r.updates.prints += taken.print()
+	applied := &evacuation{e, r.now}
+	r.evacuations[e.Zone] = applied
+	r.updates.fingerprints += applied.fingerprint()
 	r.updates.revision = routing.Latest(r.updates.revision, e.Revision)
 	if was == !e.Ended {
 		return
 	}
-	r.heartbeatPending = true // others are told at once
+	r.heartbeatPending = true // send it to the other hosts at once
 	what := "zone evacuated"
 	if e.Ended {
-		what = "zone taken back"
+		what = "zone evacuation ended"
 	}
 	if _, known := r.opt.Regions[e.Zone]; !known && len(r.opt.Regions) > 0 {
-		what += ", but the settings name no such zone"
+		what += ", but the zone is not in the settings"
 	}
 	r.emit(Note{What: what, Subject: e.Zone, Detail: from + " revision " + e.Revision.String()})
 	for _, b := range r.allBackends() {
@@ -78,13 +79,13 @@
 		}
 		b.evacuated = !e.Ended
 		if e.Ended {
-			r.presumeCold(b)
+			r.assumeCold(b)
 		}
 	}
 }
 
-// forgetEnded forgets the zone that was taken back first; false where all are still evacuated.
-func (r *Router) forgetEnded() bool {
+// evictEnded forgets the evacuation that ended first. It returns false if none has ended.
+func (r *Router) evictEnded() bool {
 	var oldest *evacuation
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		if e := r.evacuations[zone]; e.Ended && (oldest == nil || e.at < oldest.at) {
@@ -98,8 +99,8 @@
 	return true
 }
 
-// endUnlisted takes back the zones that a complete listing no longer names. Where the listing is of a later era, the store may
-// have lost the request.
+// endUnlisted ends the evacuations that a complete listing no longer contains. It keeps those of an earlier era, which
+// the store may have lost.
 func (r *Router) endUnlisted(n Update) {
 	listed := map[string]bool{}
 	for _, e := range n.Evacuations {
@@ -108,39 +109,39 @@
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		e := r.evacuations[zone]
 		if !e.Ended && !listed[zone] && e.Revision.Era == n.AsOf.Era && !e.Revision.After(n.AsOf) {
-			r.takeEvacuation(routing.Evacuation{Zone: zone, Revision: n.AsOf, Ended: true}, "store")
+			r.applyEvacuation(routing.Evacuation{Zone: zone, Revision: n.AsOf, Ended: true}, "store")
 		}
 	}
 }
 
-// expireEvacuations takes back zones whose evacuation the store has lost for good.
+// expireEvacuations ends the evacuations that the store has lost and nobody has repeated.
 func (r *Router) expireEvacuations() {
-	era := r.updates.complete.Era
-	if era == 0 || len(r.evacuations) == 0 || r.now-r.updates.eraAt < evacuationPatience {
+	era := r.updates.completeTo.Era
+	if era == 0 || len(r.evacuations) == 0 || r.now-r.updates.eraSeenAt < lostEvacuationTTL {
 		return
 	}
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		if e := r.evacuations[zone]; !e.Ended && e.Revision.Era < era {
-			r.takeEvacuation(routing.Evacuation{Zone: zone, Revision: routing.Revision{Era: era}, Ended: true}, "store")
+			r.applyEvacuation(routing.Evacuation{Zone: zone, Revision: routing.Revision{Era: era}, Ended: true}, "store")
 		}
 	}
 }
 
-// toldEvacuations are what beats tell: the zones that are evacuated, and those that were taken back lately.
-func (r *Router) toldEvacuations() []*gossippb.Evacuation {
+// evacuationsToSend returns the current evacuations and those that ended recently, for heartbeats.
+func (r *Router) evacuationsToSend() []*gossippb.Evacuation {
 	var out []*gossippb.Evacuation
 	for _, zone := range slices.Sorted(maps.Keys(r.evacuations)) {
 		e := r.evacuations[zone]
-		if !e.Ended || r.now-e.at < endToldFor {
+		if !e.Ended || r.now-e.at < evacuationEndTTL {
 			out = append(out, &gossippb.Evacuation{Zone: zone, Revision: e.Revision.Number, Era: e.Revision.Era, Ended: e.Ended})
 		}
 	}
 	return out
 }
 
-// takeEvacuations takes another host's words.
-func (r *Router) takeEvacuations(from string, list []*gossippb.Evacuation) {
+// applyEvacuations merges the evacuations reported by another host.
+func (r *Router) applyEvacuations(from string, list []*gossippb.Evacuation) {
 	for _, e := range list {
-		r.takeEvacuation(routing.Evacuation{Zone: e.Zone, Revision: routing.Revision{Era: e.Era, Number: e.Revision}, Ended: e.Ended}, from)
+		r.applyEvacuation(routing.Evacuation{Zone: e.Zone, Revision: routing.Revision{Era: e.Era, Number: e.Revision}, Ended: e.Ended}, from)
 	}
 }
--- a/internal/router/event.go
+++ b/internal/router/event.go
@@ -25,7 +25,7 @@
 	OutputTok int                // the caller's estimate of the output in tokens
 	Cost      float64            // counted against the workspace's quota, in the quota's unit
 	Deadline  time.Duration      // on the reducer's clock
-	// Digest identifies the request across attempts; zero if the request is not subject to quarantine.
+	// Digest identifies the request across attempts; zero if it is not needed, as no request is suspected.
 	Digest quarantine.Digest
 }
 
@@ -117,19 +117,19 @@
 	Ask  *gossippb.Ask
 }
 
-// ChargeRequestReceived is another host's request to charge a workspace's quota, which this host owns.
-type ChargeRequestReceived struct {
+// QuotaRequestReceived is another host's request to charge a workspace's quota that this host owns, or to refund a charge.
+type QuotaRequestReceived struct {
 	From   string
 	Charge *gossippb.Charge
 }
 
-// ChargeResponseReceived is a quota owner's response to this host's charge request.
-type ChargeResponseReceived struct {
+// QuotaReplyReceived is a quota owner's reply to this host's quota request.
+type QuotaReplyReceived struct {
 	From    string
 	Charged *gossippb.Charged
 }
 
-// SlotOfferReceived is an owner's response to this host's slot request.
+// SlotOfferReceived is an owner's reply to this host's slot request.
 type SlotOfferReceived struct {
 	From  string
 	Offer *gossippb.Offer
@@ -179,27 +179,27 @@
 	Bounds Bounds
 }
 
-func (ChargeRequestReceived) event()  {}
-func (ChargeResponseReceived) event() {}
-func (SettingsChanged) event()        {}
-func (ProbeResult) event()            {}
-func (BackendAnnouncement) event()    {}
-func (SlotRequestReceived) event()    {}
-func (SlotOfferReceived) event()      {}
-func (ReportReceived) event()         {}
-func (OccupancyReceived) event()      {}
-func (RelayReceived) event()          {}
-func (Tick) event()                   {}
-func (Submit) event()                 {}
-func (StreamStarted) event()          {}
-func (StreamProgress) event()         {}
-func (Stalled) event()                {}
-func (CallerLeft) event()             {}
-func (DispatchEnded) event()          {}
-func (HeartbeatReceived) event()      {}
-func (Update) event()                 {}
-func (StoreStatus) event()            {}
-func (Drain) event()                  {}
+func (QuotaRequestReceived) event() {}
+func (QuotaReplyReceived) event()   {}
+func (SettingsChanged) event()      {}
+func (ProbeResult) event()          {}
+func (BackendAnnouncement) event()  {}
+func (SlotRequestReceived) event()  {}
+func (SlotOfferReceived) event()    {}
+func (ReportReceived) event()       {}
+func (OccupancyReceived) event()    {}
+func (RelayReceived) event()        {}
+func (Tick) event()                 {}
+func (Submit) event()               {}
+func (StreamStarted) event()        {}
+func (StreamProgress) event()       {}
+func (Stalled) event()              {}
+func (CallerLeft) event()           {}
+func (DispatchEnded) event()        {}
+func (HeartbeatReceived) event()    {}
+func (Update) event()               {}
+func (StoreStatus) event()          {}
+func (Drain) event()                {}
 
 // Effect is an output of the reducer, carried out by the node.
 type Effect interface{ effect() }
@@ -214,14 +214,14 @@
 	Quota    QuotaBasis
 	// Wait is the predicted time to a stream's first event at the chosen backend server.
 	Wait time.Duration
-	// Owner is the host that granted the slot or decided on the quota; empty if this host decided alone.
+	// Owner is the host that granted the slot or decided on the quota; empty if this host decided locally.
 	Owner string
 	// Known, Full and Unreachable count the service's backend servers: those that may be used, those of them
 	// without a slot for this priority, and those assumed to be unreachable. Cold counts those of the full ones that take no
 	// more from this host because they started recently. Excluded ones may not be used at all: they are leaving, their
 	// availability zone is evacuated, or their region may not serve the request.
 	Known, Full, Unreachable, Cold, Excluded int
-	// suspects counts those of the full ones that repeatedly fail requests.
+	// suspects counts those of the full ones that are avoided because they fail requests or cannot be reached.
 	suspects int
 }
 
--- a/internal/router/exhaustive_test.go
+++ b/internal/router/exhaustive_test.go
@@ -10,31 +10,31 @@
 	"fireflyshift/internal/routing"
 )
 
-// life is one request's way through the reducer, as its caller and the backend servers see it.
-type life struct {
-	b        *bench
+// lifecycle tracks one request through the reducer, as its caller and the backend servers see it.
+type lifecycle struct {
+	b        *fixture
 	route    *routing.Route
 	mayRun   int // dispatches that may have run
-	runs     int // dispatches that were not proved not to have run, ever
+	runs     int // all dispatches except those proved not to have run
 	answered bool
-	flying   bool
+	inFlight bool
 	sends    int
 }
 
-// take checks the effects of one event.
-func (l *life) take(path string, list []Effect) {
+// verify checks the effects of one event.
+func (l *lifecycle) verify(path string, list []Effect) {
 	for _, e := range list {
 		switch e.(type) {
 		case Dispatch:
-			require.False(l.b.t, l.answered || l.flying, "%s: dispatched though answered or under way", path)
+			require.False(l.b.t, l.answered || l.inFlight, "%s: dispatched though answered or under way", path)
 			require.False(l.b.t, l.mayRun > 0 && !l.route.Repeatable(), "%s: runs again", path)
-			l.flying = true
+			l.inFlight = true
 			l.sends++
 			l.runs++
 			l.mayRun++
 		case Refuse:
 			require.False(l.b.t, l.answered, "%s: answered twice", path)
-			require.Zero(l.b.t, l.mayRun, "%s: called not run", path)
+			require.Zero(l.b.t, l.mayRun, "%s: refused as not run", path)
 			l.answered = true
 		case GiveUp:
 			require.False(l.b.t, l.answered, "%s: answered twice", path)
@@ -45,8 +45,8 @@
 	require.LessOrEqual(l.b.t, l.sends, maxSends, path)
 }
 
-// ends are all ways in which a dispatch can end.
-func ends() []DispatchEnded {
+// allDispatchEnds returns all ways in which a dispatch can end.
+func allDispatchEnds() []DispatchEnded {
 	var out []DispatchEnded
 	for o := Answered; o <= Canceled; o++ {
 		out = append(out, DispatchEnded{Outcome: o}, DispatchEnded{Outcome: o, Fault: true})
@@ -57,20 +57,20 @@
 	return out
 }
 
-// step is one thing that happens to a request.
+// step is one event in the life of a request.
 type step struct {
 	name string
-	do   func(l *life) []Effect
+	do   func(l *lifecycle) []Effect
 }
 
 func steps() []step {
 	var out []step
-	for _, end := range ends() {
-		out = append(out, step{fmt.Sprintf("%d,%t,%t", end.Outcome, end.Delivered, end.Fault), func(l *life) []Effect {
-			if !l.flying {
+	for _, end := range allDispatchEnds() {
+		out = append(out, step{fmt.Sprintf("%d,%t,%t", end.Outcome, end.Delivered, end.Fault), func(l *lifecycle) []Effect {
+			if !l.inFlight {
 				return nil
 			}
-			l.flying = false
+			l.inFlight = false
 			switch end.Outcome {
 			case NotSent, Rejected, WrongInstance:
 				l.mayRun--
@@ -83,16 +83,15 @@
 		}})
 	}
 	out = append(out,
-		step{"stalled", func(l *life) []Effect { return l.b.post(Stalled{ID: 1}) }},
-		step{"late", func(l *life) []Effect { l.b.now += 4 * time.Second; return l.b.post(Tick{}) }},
-		step{"gone", func(l *life) []Effect { l.answered = true; l.flying = false; return l.b.post(CallerLeft{ID: 1}) }})
+		step{"stalled", func(l *lifecycle) []Effect { return l.b.post(Stalled{ID: 1}) }},
+		step{"late", func(l *lifecycle) []Effect { l.b.now += 4 * time.Second; return l.b.post(Tick{}) }},
+		step{"gone", func(l *lifecycle) []Effect { l.answered = true; l.inFlight = false; return l.b.post(CallerLeft{ID: 1}) }})
 	return out
 }
 
-// Every order of up to four things that can happen to a request of each kind, with three engines: no
-// answer twice, no run too many, "not run" only where that is proved. The reducer decides alike for any
-// longer way through the same states.
-func TestEveryShortLifeOfARequest(t *testing.T) {
+// Every sequence of up to four events for a request of each kind, with three engines: no second answer, no run beyond
+// the limit, and "not run" only if proved. The reducer decides alike for longer sequences through the same states.
+func TestEveryShortHistoryOfARequest(t *testing.T) {
 	const depth = 4
 	all := steps()
 	routes := []*routing.Route{
@@ -101,25 +100,25 @@
 		{Name: "stream", Kind: routing.Streaming, MaxAttempts: 2, Resumable: true},
 		{Name: "fragile", Kind: routing.Streaming, MaxAttempts: 2},
 	}
-	tried := 0
+	sequences := 0
 	for _, route := range routes {
 		route.Shares = []routing.Share{{Service: "m", Weight: 1}}
 		var walk func(path []int)
 		walk = func(path []int) {
-			l := &life{b: newBench(t, 3), route: route}
+			l := &lifecycle{b: newFixture(t, 3), route: route}
 			name := route.Name
-			l.take(name, l.b.post(Submit{ID: 1, Route: route, Deadline: l.b.now + 10*time.Second}))
+			l.verify(name, l.b.post(Submit{ID: 1, Route: route, Deadline: l.b.now + 10*time.Second}))
 			for _, i := range path {
 				name += " " + all[i].name
-				l.take(name, all[i].do(l))
+				l.verify(name, all[i].do(l))
 			}
-			tried++
+			sequences++
 			if l.answered {
-				require.False(t, l.flying, "%s: answered while under way", name)
+				require.False(t, l.inFlight, "%s: answered while under way", name)
 				require.Zero(t, l.b.r.Requests(), "%s: kept after its answer", name)
 				return
 			}
-			require.True(t, l.flying, "%s: neither answered nor under way", name)
+			require.True(t, l.inFlight, "%s: neither answered nor under way", name)
 			if len(path) == depth {
 				return
 			}
@@ -129,10 +128,10 @@
 		}
 		walk(nil)
 	}
-	t.Logf("%d lives", tried)
+	t.Logf("%d sequences", sequences)
 }
 
-// permute calls f with every order of n things.
+// permute calls f with every permutation of n indices.
 func permute(n int, f func(order []int)) {
 	order := make([]int, 0, n)
 	used := make([]bool, n)
@@ -156,14 +155,14 @@
 	next()
 }
 
-// Six news reach a host in every order, from the store and from peers, each of them twice: what is in
-// force never goes back on the way, and the end is the same.
-func TestEveryOrderOfNews(t *testing.T) {
+// Six updates reach a host in every order, from the store and from peers, each twice. The state in force never goes
+// back and ends the same.
+func TestEveryOrderOfUpdates(t *testing.T) {
 	config := func(v uint64) routing.Changes { return routing.Changes{Config: &routing.Config{Version: v}} }
 	backend := func(rev uint64, removed bool) routing.Changes {
 		return routing.Changes{Backends: []routing.BackendChange{changeOf("x", rev, removed)}}
 	}
-	news := []Update{
+	updates := []Update{
 		{FromStore: true, After: rev(50), AsOf: rev(62), Revision: rev(61), Changes: backend(61, false)},
 		{After: rev(50), AsOf: rev(60), Changes: config(3)},
 		{FromStore: true, After: rev(62), AsOf: rev(70), Changes: config(5)},
@@ -171,14 +170,14 @@
 		{Changes: config(4)},
 		{After: rev(10), AsOf: rev(40), Revision: rev(61), Changes: backend(61, false)},
 	}
-	permute(len(news), func(order []int) {
-		b := newBench(t, 1)
-		version, complete := b.r.version(), b.r.updates.complete
+	permute(len(updates), func(order []int) {
+		b := newFixture(t, 1)
+		version, complete := b.r.version(), b.r.updates.completeTo
 		for _, i := range append(append([]int(nil), order...), order...) {
-			b.post(news[i])
+			b.post(updates[i])
 			require.GreaterOrEqual(t, b.r.version(), version, "%v", order)
-			require.False(t, complete.After(b.r.updates.complete), "%v", order)
-			version, complete = b.r.version(), b.r.updates.complete
+			require.False(t, complete.After(b.r.updates.completeTo), "%v", order)
+			version, complete = b.r.version(), b.r.updates.completeTo
 		}
 		require.EqualValues(t, 5, version, "%v", order)
 		require.Equal(t, rev(75), complete, "%v", order)
--- a/internal/router/fuzz_test.go
+++ b/internal/router/fuzz_test.go
@@ -14,8 +14,8 @@
 	"fireflyshift/internal/routing"
 )
 
-// Another version of the daemon, or anything else on the port, sends datagrams. The host must go on:
-// no panic, no invariant broken, and its own requests still placed.
+// Another version of the daemon, or any other program, sends datagrams to the port. The host must continue:
+// no panic, no violated invariant, and its own requests are still scheduled.
 func FuzzBeat(f *testing.F) {
 	add := func(b *gossippb.Beat) {
 		data, err := proto.Marshal(b)
@@ -35,24 +35,24 @@
 		if proto.Unmarshal(data, &beat) != nil {
 			return
 		}
-		b := newBench(t, 2)
+		b := newFixture(t, 2)
 		b.post(HeartbeatReceived{&beat})
 		b.now += time.Second
 		b.post(Tick{})
 		b.post(HeartbeatReceived{&beat})
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 		b.prompt(1 << 30)
 		for _, e := range b.r.allBackends() {
-			s := b.r.newSelector(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, scopeAll)
-			require.Positive(t, s.waitAt(e, e.inFlight()), "an overflow would make it look idle")
+			s := b.r.newSelector(&request{Submit: Submit{Route: urgentRoute, PromptTok: 1 << 30}, service: "m"}, scopeAll)
+			require.Positive(t, s.predictedWait(e, e.inFlight()), "an overflow would make it look idle")
 		}
 		b.now += time.Minute
 		b.post(Tick{})
 	})
 }
 
-// The same for the other datagrams: a question with a rank that is no number, a report of more than was ever
-// there, an owner that is nobody. No count goes below zero, no choice fails.
+// The same for other datagrams: a slot request whose rank is not a number, a report of more requests than there were,
+// an unknown owner. No count becomes negative, and no choice fails.
 func FuzzPacket(f *testing.F) {
 	hash := newBackend(routing.Backend{ID: "e0"}).hash
 	for _, p := range []*gossippb.Packet{
@@ -76,7 +76,7 @@
 		if proto.Unmarshal(data, &p) != nil || p.Beat != nil {
 			return
 		}
-		b := newBench(t, 3)
+		b := newFixture(t, 3)
 		for i := range maxFullMesh + 1 {
 			b.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 		}
@@ -87,20 +87,20 @@
 		}
 		b.post(ev)
 		b.post(ev)
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 		b.prompt(1 << 30)
 		for _, e := range b.r.allBackends() {
 			require.GreaterOrEqual(t, e.inFlight(), 0)
-			require.GreaterOrEqual(t, e.unread(b.now), 0)
-			s := b.r.newSelector(&request{Submit: Submit{Route: urgent, PromptTok: 1 << 30}, service: "m"}, scopeAll)
-			require.Positive(t, s.waitAt(e, e.inFlight()), "an overflow would make it look idle")
+			require.GreaterOrEqual(t, e.prefillBacklog(b.now), 0)
+			s := b.r.newSelector(&request{Submit: Submit{Route: urgentRoute, PromptTok: 1 << 30}, service: "m"}, scopeAll)
+			require.Positive(t, s.predictedWait(e, e.inFlight()), "an overflow would make it look idle")
 		}
 		b.now += time.Minute
 		b.post(Tick{})
 	})
 }
 
-// The same for what a peer answers to a question for news. A configuration never goes back by it.
+// The same for the answer to a pull. It never brings an older configuration back.
 func FuzzPeerNews(f *testing.F) {
 	f.Add([]byte(`{"Config":{"Version":7},"Backends":[{"ID":"e0","Revision":99,"Removed":true}],"After":1,"AsOf":100}`))
 	f.Add([]byte(`{"Config":{"Version":0,"Workspaces":[{"Name":"w","Rate":-1}]},"Full":true,"Backends":[{}]}`))
@@ -110,12 +110,12 @@
 			return
 		}
 		n.Full, n.FromStore = false, false
-		b := newBench(t, 2)
+		b := newFixture(t, 2)
 		before := b.r.version()
 		b.post(n)
 		require.GreaterOrEqual(t, b.r.version(), before)
 		b.post(n)
-		b.submit(urgent, 0, 10)
+		b.submit(urgentRoute, 0, 10)
 		b.now += time.Minute
 		b.post(Tick{})
 	})
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -13,87 +13,90 @@
 )
 
 const (
-	// shardSize is about how many backend servers of a zone have one owner. Ten are enough for a choice
-	// among unlike engines, and with twice as many a small host would answer for a fifth of its zone's
-	// requests.
+	// shardSize is the approximate number of backend servers in a zone that share an owner. Ten are enough for
+	// a choice among unlike engines. With twice as many, a small host would handle the slot requests for a fifth
+	// of its zone's requests.
 	shardSize = 10
-	// ownerAge is how long a host must have run to own backend servers: one that has just started has not
-	// heard from its zone mates what they carry, and takes every engine for idle.
-	ownerAge = 1500 * time.Millisecond
-	// ownerAgeLeast is enough where no host of the zone is older: all have started together, and whoever
-	// owns an engine hears of each request there from the first one on.
-	ownerAgeLeast = 300 * time.Millisecond
-	// occupancyEvery is the period at which owners tell their zone what their backend servers carry. It only
-	// decides which owner is asked first: the owner itself knows. occupancyPerHost stretches it with the zone's hosts,
-	// so that a host hears the same number of words a second, however many owners there are.
-	occupancyEvery   = 250 * time.Millisecond
-	occupancyPerHost = 5 * time.Millisecond
-	// occupancyStale is after how many periods an owner's word no longer counts.
-	occupancyStale = 4
-	// speedsEvery is how many of an owner's words pass between two that tell all speeds; the others tell those that have changed.
-	speedsEvery = 16
+	// minOwnerAge is how long a host must have run to own backend servers. A host that has just started has not
+	// received its zone peers' loads and takes every engine for idle.
+	minOwnerAge = 1500 * time.Millisecond
+	// minOwnerAgeAtStart applies if no host of the zone is older. All have started together then, and an owner
+	// gets a report of each request from the first one on.
+	minOwnerAgeAtStart = 300 * time.Millisecond
+	// minOccupancyInterval is the interval at which owners send their backend servers' loads to the zone. The
+	// loads only decide which owner is called first, as the owner itself has exact counts. It is stretched by
+	// occupancyIntervalPerHost for each host of the zone, so that the messages a host receives per second do not
+	// depend on the number of owners.
+	minOccupancyInterval     = 250 * time.Millisecond
+	occupancyIntervalPerHost = 5 * time.Millisecond
+	// occupancyStaleIntervals is the number of intervals after which an owner's report expires.
+	occupancyStaleIntervals = 4
+	// messagesPerFullSpeeds is the number of occupancy messages per one that holds all speeds. The others hold
+	// only the speeds that have changed.
+	messagesPerFullSpeeds = 16
 )
 
-// ownerStatus is how an owner has answered this host.
+// ownerStatus records how an owner has replied to this host.
 type ownerStatus struct {
-	// missedReplies are questions in a row without an answer; until muteUntil it is not asked because of them.
+	// missedReplies counts the calls in a row without a reply. The owner is not called before backoffUntil.
 	missedReplies int
 	backoffUntil  time.Duration
-	// fullAt is when it last had no place, by priority.
+	// fullAt is when the owner last had no free slot, by priority.
 	fullAt [priorities]time.Duration
 }
 
-// statusOf is how an owner has answered so far.
+// statusOf returns the status of an owner and creates it if necessary.
 func (r *Router) statusOf(owner string) *ownerStatus {
-	t, ok := r.owners.trust[owner]
+	t, ok := r.owners.status[owner]
 	if !ok {
 		t = &ownerStatus{}
 		for p := range t.fullAt {
 			t.fullAt[p] = -fullTTL
 		}
-		r.owners.trust[owner] = t
+		r.owners.status[owner] = t
 	}
 	return t
 }
 
-// ownerState is who owns the backend servers of this zone. Ownership is computed by each host from those
-// that it hears. It grants nothing: where two hosts disagree for a moment, some requests are placed by an
-// older belief, as if the host had decided alone.
+// ownerState holds the owners of this zone's backend servers. Each host computes them from the hosts whose
+// heartbeats it receives. Ownership grants no exclusive right: while two hosts disagree, some requests are
+// assigned by older load data, as if the sending host had decided locally.
 type ownerState struct {
 	valid bool
-	// until is when a host comes of age that may own some, so that owners must be computed anew.
-	until time.Duration
-	// hosts are those that may own, and ofAge tells that they have run for ownerAge.
-	hosts []string
-	ofAge bool
-	// byShard are the owners' IP numbers; empty where no host has run for long enough. shards are the backend servers.
+	// recomputeAt is when the next host reaches the minimum age, so that owners must be computed again.
+	recomputeAt time.Duration
+	// candidates are the hosts that may own. established is set if they have run for minOwnerAge.
+	candidates  []string
+	established bool
+	// byShard holds the owners' IP addresses, empty if no host has run for long enough. shards holds the
+	// backend servers of each shard.
 	byShard []string
 	shards  [][]*backend
-	// owned is how many shards this host owns, and mine their backend servers.
-	owned int
-	mine  []*backend
-	// tellAt is when this host next tells what its backend servers carry, and told counts its words.
-	tellAt time.Duration
-	told   int
-	// expireAt is when words of owners that have fallen silent are next looked for.
+	// ownedShards is the number of shards that this host owns and ownedBackends are their backend servers.
+	ownedShards   int
+	ownedBackends []*backend
+	// nextOccupancyAt is when this host next sends its occupancy message, and occupancySent counts them.
+	nextOccupancyAt time.Duration
+	occupancySent   int
+	// expireAt is when expired owners' reports are next removed.
 	expireAt time.Duration
-	trust    map[string]*ownerStatus
-	// knownUntil is until when owners of other zones know this host by its last beat.
-	knownUntil map[string]time.Duration
+	status   map[string]*ownerStatus
+	// announcedUntil is how long an owner in another zone knows this host from its last heartbeat.
+	announcedUntil map[string]time.Duration
 }
 
 func newOwnerState() ownerState {
-	return ownerState{trust: map[string]*ownerStatus{}, knownUntil: map[string]time.Duration{}}
+	return ownerState{status: map[string]*ownerStatus{}, announcedUntil: map[string]time.Duration{}}
 }
 
-// sharing tells whether backend servers have owners that are asked for places. In a small fleet every host
-// tells each change to all others instead, which grows with the square of the hosts.
-func (r *Router) sharing() bool { return r.largeFleet() }
+// usesOwners reports whether backend servers have owners that grant slots. In a small fleet each host sends
+// every change to all others instead, at a cost that grows with the square of the number of hosts.
+func (r *Router) usesOwners() bool { return r.largeFleet() }
 
-// ownerOf is the host that owns a backend server; empty where none is known. Other zones name theirs in their
-// sums.
+// ownerOf returns the host that owns a backend server, or "" if unknown. Other zones list their owners in
+// zone summaries.
 func (r *Router) ownerOf(b *backend) string {
-	if !r.sharing() {
+	if !r.usesOwners() {
 		return ""
 	}
 	if b.Zone != r.opt.Zone {
@@ -103,19 +106,20 @@
 		}
 		return z.owners[b.hash%uint32(len(z.owners))]
 	}
-	return r.ownShards()[b.hash%uint32(len(r.owners.byShard))]
+	return r.localShardOwners()[b.hash%uint32(len(r.owners.byShard))]
 }
 
-// ownShards are the owners of this zone's backend servers.
-func (r *Router) ownShards() []string {
-	if !r.owners.valid || r.now >= r.owners.until {
+// localShardOwners returns the owners of this zone's backend servers by shard.
+func (r *Router) localShardOwners() []string {
+	if !r.owners.valid || r.now >= r.owners.recomputeAt {
 		r.computeOwners()
 	}
 	return r.owners.byShard
 }
 
-// outOfReach tells that another zone's owner does not answer: its zone is most likely cut off.
-func (r *Router) outOfReach(b *backend) bool {
+// remoteOwnerUnresponsive reports whether a backend server's owner is in another zone and does not reply.
+// That zone is most likely disconnected.
+func (r *Router) remoteOwnerUnresponsive(b *backend) bool {
 	if b.Zone == r.opt.Zone {
 		return false
 	}
@@ -124,15 +128,15 @@
 }
 
 func (r *Router) owns(b *backend) bool {
-	if !r.sharing() || b.Zone != r.opt.Zone {
+	if !r.usesOwners() || b.Zone != r.opt.Zone {
 		return false
 	}
-	r.ownShards()
+	r.localShardOwners()
 	return b.owned
 }
 
-// computeOwners divides the zone's backend servers into a power of two of shards, so that the number seldom
-// changes, and finds each shard's owner by rendezvous hashing over the hosts that live and stay.
+// computeOwners divides the zone's backend servers into a power of two of shards, so that the number rarely
+// changes, and assigns each shard an owner by rendezvous hashing over the hosts that are up and not leaving.
 func (r *Router) computeOwners() {
 	zone := r.backendsIn(r.opt.Zone)
 	n := 0
@@ -145,23 +149,23 @@
 	if len(r.owners.byShard) != shards {
 		r.owners.byShard = make([]string, shards)
 	}
-	hosts := r.ownersOfAge()
-	r.owners.hosts = hosts
-	clear(r.limits.owners)
-	owned := r.owners.owned
-	r.owners.owned = 0
+	hosts := r.eligibleOwners()
+	r.owners.candidates = hosts
+	clear(r.quotaState.owners)
+	owned := r.owners.ownedShards
+	r.owners.ownedShards = 0
 	for s := range r.owners.byShard {
-		owner, _ := bestTwo(hosts, uint64(s))
+		owner, _ := rendezvousTopTwo(hosts, uint64(s))
 		r.owners.byShard[s] = owner
 		if owner == r.opt.Host {
-			r.owners.owned++
+			r.owners.ownedShards++
 		}
 	}
 	r.owners.valid = true
-	if r.owners.owned != owned {
-		r.emit(Note{What: "owns backend servers", Detail: fmt.Sprintf("%d of %d shards", r.owners.owned, shards)})
+	if r.owners.ownedShards != owned {
+		r.emit(Note{What: "owns backend servers", Detail: fmt.Sprintf("%d of %d shards", r.owners.ownedShards, shards)})
 	}
-	r.owners.mine = r.owners.mine[:0]
+	r.owners.ownedBackends = r.owners.ownedBackends[:0]
 	r.owners.shards = make([][]*backend, shards)
 	for _, b := range zone {
 		shard := b.hash % uint32(shards)
@@ -169,51 +173,51 @@
 		b.owned = r.owners.byShard[shard] == r.opt.Host
 		if b.owned {
 			b.useOwnerReport = false
-			r.owners.mine = append(r.owners.mine, b)
+			r.owners.ownedBackends = append(r.owners.ownedBackends, b)
 		}
 	}
 }
 
-// never is a moment that does not come.
+// never is a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
-// ownersOfAge are the hosts of this zone that may own backend servers: those that have run for ownerAge, or where there is
-// none, for ownerAgeLeast. It notes when the next one comes of age.
-func (r *Router) ownersOfAge() []string {
-	var old, young []string
-	r.owners.until = never
-	consider := func(host string, bornAt time.Duration) {
-		switch age := r.now - bornAt; {
-		case age >= ownerAge:
-			old = append(old, host)
+// eligibleOwners returns the hosts of this zone that may own backend servers: those that have run for
+// minOwnerAge, or if there are none, for minOwnerAgeAtStart. It sets recomputeAt.
+func (r *Router) eligibleOwners() []string {
+	var mature, recent []string
+	r.owners.recomputeAt = never
+	add := func(host string, startedAt time.Duration) {
+		switch age := r.now - startedAt; {
+		case age >= minOwnerAge:
+			mature = append(mature, host)
 			return
-		case age >= ownerAgeLeast:
-			young = append(young, host)
-			r.owners.until = min(r.owners.until, bornAt+ownerAge)
+		case age >= minOwnerAgeAtStart:
+			recent = append(recent, host)
+			r.owners.recomputeAt = min(r.owners.recomputeAt, startedAt+minOwnerAge)
 		default:
-			r.owners.until = min(r.owners.until, bornAt+ownerAgeLeast)
+			r.owners.recomputeAt = min(r.owners.recomputeAt, startedAt+minOwnerAgeAtStart)
 		}
 	}
 	if r.drain == nil {
-		consider(r.opt.Host, 0)
+		add(r.opt.Host, 0)
 	}
 	for _, h := range r.zonePeers() {
 		if m := r.members.byHost[h]; !m.leaving {
-			consider(h, m.startedAt)
+			add(h, m.startedAt)
 		}
 	}
-	r.owners.ofAge = len(old) > 0
-	if r.owners.ofAge {
-		return old
+	r.owners.established = len(mature) > 0
+	if r.owners.established {
+		return mature
 	}
-	return young
+	return recent
 }
 
-// bestTwo are a shard's owner among some hosts, and the next; empty where there are not so many.
-func bestTwo(hosts []string, shard uint64) (first, second string) {
+// rendezvousTopTwo returns the two hosts with the highest hash for a shard, or "" if there are too few.
+func rendezvousTopTwo(hosts []string, shard uint64) (first, second string) {
 	var best, next uint64
 	for _, host := range hosts {
-		switch v := shardRank(host, shard); {
+		switch v := rendezvousHash(host, shard); {
 		case first == "" || v > best:
 			first, best, second, next = host, v, first, best
 		case second == "" || v > next:
@@ -223,93 +227,93 @@
 	return first, second
 }
 
-// shardRank mixes a host with a shard, so that each shard orders the hosts in its own way.
-func shardRank(host string, shard uint64) uint64 {
+// rendezvousHash hashes a host together with a shard, so that each shard orders the hosts differently.
+func rendezvousHash(host string, shard uint64) uint64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:8], xxhash.Sum64String(host))
 	binary.LittleEndian.PutUint64(key[8:], shard)
 	return xxhash.Sum64(key[:])
 }
 
-// tellOccupancy tells the zone what this host's backend servers carry.
-func (r *Router) tellOccupancy() {
-	if !r.sharing() || r.now < r.owners.tellAt {
+// sendOccupancy sends the loads and speeds of this host's backend servers to the zone.
+func (r *Router) sendOccupancy() {
+	if !r.usesOwners() || r.now < r.owners.nextOccupancyAt {
 		return
 	}
-	r.owners.tellAt = r.now + r.occupancyPeriod()
+	r.owners.nextOccupancyAt = r.now + r.occupancyInterval()
 	o := &gossippb.Occupancy{All: true}
-	whole := r.owners.told%speedsEvery == 0
-	r.ownShards()
-	for _, b := range r.owners.mine {
+	allSpeeds := r.owners.occupancySent%messagesPerFullSpeeds == 0
+	r.localShardOwners()
+	for _, b := range r.owners.ownedBackends {
 		if b.removed {
 			continue
 		}
-		if all := b.carried(); all != (load{}) {
+		if all := b.totalLoad(); all != (load{}) {
 			o.Loads = append(o.Loads, all.toProto(b.hash))
 		}
-		if b.samples > 0 && (whole || b.speed().differs(b.reportedSpeed)) {
+		if b.samples > 0 && (allSpeeds || b.speed().differsFrom(b.reportedSpeed)) {
 			b.reportedSpeed = b.speed()
-			o.Speeds = append(o.Speeds, b.speedMessage())
+			o.Speeds = append(o.Speeds, b.speedToProto())
 		}
 	}
-	if len(r.owners.mine) == 0 {
+	if len(r.owners.ownedBackends) == 0 {
 		return
 	}
-	for _, b := range r.owners.mine {
-		if !b.removed && b.fails() {
+	for _, b := range r.owners.ownedBackends {
+		if !b.removed && b.isFailing() {
 			o.Failing = append(o.Failing, b.hash)
 		}
 	}
-	r.owners.told++
+	r.owners.occupancySent++
 	r.emit(Send{To: r.zonePeers(), Packet: &gossippb.Packet{Occupancy: o}})
 }
 
-// carried is what a backend server is believed to carry, requests of all hosts together.
-func (b *backend) carried() load {
+// totalLoad returns the known load of a backend server from all hosts.
+func (b *backend) totalLoad() load {
 	all := b.loadOfOthers()
 	all.add(b.ownLoad)
 	return all
 }
 
-// takeOccupancy takes an owner's word of what its backend servers carry.
-func (r *Router) takeOccupancy(from string, o *gossippb.Occupancy) {
+// handleOccupancy applies an owner's report on its backend servers.
+func (r *Router) handleOccupancy(from string, o *gossippb.Occupancy) {
 	if o.All {
-		r.takeAllOf(from, loadsFromProto(o.Loads))
+		r.applyFullOccupancy(from, loadsFromProto(o.Loads))
 	} else {
-		r.takeOwnersWords(o.Loads)
+		r.applyOwnerLoads(o.Loads)
 	}
-	r.takeOwnersFailing(o.Failing)
+	r.applyOwnerFailing(o.Failing)
 	for _, s := range o.Speeds {
 		if b, ok := r.byHash[s.Backend]; ok && r.ownerOf(b) == from {
-			b.takeSpeed(s)
+			b.applyOwnerSpeed(s)
 		}
 	}
 }
 
-// takeAllOf takes an owner's word of all its backend servers; those that it does not name carry nothing.
-func (r *Router) takeAllOf(owner string, told loads) {
-	for shard, o := range r.ownShards() {
+// applyFullOccupancy applies an owner's report on all its backend servers. Those it does not list are idle.
+func (r *Router) applyFullOccupancy(owner string, reported loads) {
+	for shard, o := range r.localShardOwners() {
 		if o != owner {
 			continue
 		}
 		for _, b := range r.owners.shards[shard] {
-			r.takeOwnersWord(b, told[b.hash])
+			r.applyOwnerLoad(b, reported[b.hash])
 		}
 	}
 }
 
-// takeOwnersWords takes what an owner says of several backend servers.
-func (r *Router) takeOwnersWords(list []*gossippb.Load) {
+// applyOwnerLoads applies an owner's report on some of its backend servers.
+func (r *Router) applyOwnerLoads(list []*gossippb.Load) {
 	for _, l := range list {
 		if b, ok := r.byHash[l.Backend]; ok {
-			r.takeOwnersWord(b, loadFromProto(l))
+			r.applyOwnerLoad(b, loadFromProto(l))
 		}
 	}
 }
 
-// takeOwnersWord replaces what is believed of others' requests at a backend server. This host's own ones
-// are in the owner's word too.
-func (r *Router) takeOwnersWord(b *backend, all load) {
+// applyOwnerLoad replaces the known load of other hosts at a backend server by its owner's report, less this
+// host's own requests, which the report includes.
+func (r *Router) applyOwnerLoad(b *backend, all load) {
 	if r.owns(b) {
 		return
 	}
@@ -317,24 +321,24 @@
 		all.counts[p] = max(0, all.counts[p]-b.ownLoad.counts[p])
 	}
 	all.prefillBacklog = max(0, all.prefillBacklog-b.ownLoad.prefillBacklog)
-	b.useOwnerReport, b.ownerReport, b.ownerReportedAt = true, all, r.now
+	b.useOwnerReport, b.ownerLoad, b.ownerReportedAt = true, all, r.now
 }
 
-// occupancyPeriod is the time between two words of an owner that nothing brings forward.
-func (r *Router) occupancyPeriod() time.Duration {
-	return max(occupancyEvery, occupancyPerHost*time.Duration(len(r.zonePeers())))
+// occupancyInterval returns the time between two occupancy messages unless one is sent early.
+func (r *Router) occupancyInterval() time.Duration {
+	return max(minOccupancyInterval, occupancyIntervalPerHost*time.Duration(len(r.zonePeers())))
 }
 
-// expireOccupancy goes back to what the other hosts' beats say where an owner has fallen silent.
-func (r *Router) expireOccupancy() {
+// expireOwnerLoads returns to the loads from the other hosts' heartbeats if an owner no longer reports.
+func (r *Router) expireOwnerLoads() {
 	if r.now < r.owners.expireAt {
 		return
 	}
-	r.owners.expireAt = r.now + occupancyEvery
-	stale := occupancyStale * r.occupancyPeriod()
+	r.owners.expireAt = r.now + minOccupancyInterval
+	stale := occupancyStaleIntervals * r.occupancyInterval()
 	for _, b := range r.allBackends() {
-		told := b.Zone != r.opt.Zone && !r.zoneUnreachable(b.Zone) // in its zone's sums, not in each
-		if b.useOwnerReport && !told && r.now-b.ownerReportedAt > stale {
+		inSummaries := b.Zone != r.opt.Zone && !r.zoneUnreachable(b.Zone) // reported in its zone's summaries, though not in each
+		if b.useOwnerReport && !inSummaries && r.now-b.ownerReportedAt > stale {
 			b.useOwnerReport = false
 		}
 	}
--- a/internal/router/quarantine.go
+++ b/internal/router/quarantine.go
@@ -6,12 +6,12 @@
 	"fireflyshift/internal/quarantine"
 )
 
-// trialFor is how long another trial of the same request waits for the outcome of one.
-const trialFor = 15 * time.Second
+// trialTimeout is how long the outcome of a trial is awaited before the same request may be tried again.
+const trialTimeout = 15 * time.Second
 
-// quarantined tells whether a request is kept from backend servers, and for how long. One host of the fleet lets it run now
-// and then: an innocent one would otherwise be refused for a day.
-func (r *Router) quarantined(q *request) (time.Duration, bool) {
+// checkQuarantine reports whether a request is kept from backend servers, and for how long. One host of the fleet
+// lets it run from time to time, as an innocent request would otherwise be refused for a day.
+func (r *Router) checkQuarantine(q *request) (time.Duration, bool) {
 	if q.Digest.Zero() || q.onTrial {
 		return 0, false
 	}
@@ -19,7 +19,7 @@
 	if c == nil {
 		return 0, false
 	}
-	if q.attempt == 0 && r.tries(c.Digest) && r.suspects.ledger.TakeTrial(r.now, c, trialFor) {
+	if q.attempt == 0 && r.runsTrial(c.Digest) && r.suspects.ledger.TakeTrial(r.now, c, trialTimeout) {
 		q.onTrial = true
 		r.emit(Note{What: "request on trial", Subject: c.Digest.String(), Detail: c.Workspace})
 		return 0, false
@@ -27,25 +27,25 @@
 	return max(time.Second, c.TrialAt()-r.now), true
 }
 
-// tries tells whether this host is the one to let a request in quarantine run: the first of the first zone, among
-// those that are heard. Views that differ for a moment make it two.
-func (r *Router) tries(d quarantine.Digest) bool {
-	purpose := "tries " + d.String()
-	mine := roleScore(r.opt.Zone, purpose)
+// runsTrial reports whether this host runs the trials of a quarantined request: the first by rendezvous hashing in
+// the first reachable zone. While views differ there may be two such hosts.
+func (r *Router) runsTrial(d quarantine.Digest) bool {
+	role := "tries " + d.String()
+	mine := roleScore(r.opt.Zone, role)
 	for _, zone := range r.otherZones() {
-		if !r.zoneUnreachable(zone) && roleScore(zone, purpose) < mine {
+		if !r.zoneUnreachable(zone) && roleScore(zone, role) < mine {
 			return false
 		}
 	}
-	return r.hasRole(purpose, 1)
+	return r.hasRole(role, 1)
 }
 
-// refuseQuarantined ends a request that is in quarantine: truly as not run where it has not.
-func (r *Router) refuseQuarantined(q *request, back time.Duration) {
-	r.close(q)
+// refuseQuarantined ends a quarantined request. It is reported as refused only if it has not run.
+func (r *Router) refuseQuarantined(q *request, retryAfter time.Duration) {
+	r.finish(q)
 	if q.ran {
 		r.emit(GiveUp{ID: q.ID, Cause: Quarantined, DeliverFailure: true})
 		return
 	}
-	r.emit(Refuse{ID: q.ID, Cause: Quarantined, RetryAfter: back, Basis: r.grounds()})
+	r.emit(Refuse{ID: q.ID, Cause: Quarantined, RetryAfter: retryAfter, Basis: r.basis()})
 }
--- a/internal/router/quota_test.go
+++ b/internal/router/quota_test.go
@@ -17,34 +17,33 @@
 	quotaRate   = 640_000.0
 	quotaWindow = 8 * time.Second
 	quotaStep   = 10 * time.Millisecond
-	// hotAt is when the workspace begins to ask for six times its quota, and hotFor how long.
-	hotAt  = 4 * time.Second
-	hotFor = 14 * time.Second
+	// burstAt is when the workspace begins to request six times its quota, and burstDuration how long it does.
+	burstAt       = 4 * time.Second
+	burstDuration = 14 * time.Second
 )
 
-// hotWorkspace is a fleet of six zones in which one workspace asks for seven tenths of its quota and then for
-// six times of it.
-type hotWorkspace struct {
+// busyWorkspace is a fleet of six zones with a workspace that requests 0.7 times its quota and later six times.
+type busyWorkspace struct {
 	*zone
 	workspace routing.Workspace
 	bounds    Bounds
-	// admitted are tokens by step, byHost by host since the beginning.
+	// admitted holds the tokens admitted by step, and byHost those by host since the beginning.
 	admitted []float64
-	step     float64 // since the last of them
+	step     float64 // tokens since the last step
 	byHost   map[string]float64
-	// times is how many times its quota the workspace asks for when it is hot.
-	times float64
+	// demand is the multiple of its quota that the workspace requests after burstAt.
+	demand float64
 }
 
-func newHotWorkspace(t testing.TB, hostsPerZone int) *hotWorkspace {
+func newBusyWorkspace(t testing.TB, hostsPerZone int) *busyWorkspace {
 	return newWorkspace(t, hostsPerZone, quotaRate)
 }
 
-// newWorkspace is a fleet with a workspace of another quota.
-func newWorkspace(t testing.TB, hostsPerZone int, rate float64) *hotWorkspace {
-	f := &hotWorkspace{zone: newZones(t, 6, hostsPerZone, 60), byHost: map[string]float64{}, times: 6,
+// newWorkspace is newBusyWorkspace with another quota.
+func newWorkspace(t testing.TB, hostsPerZone int, rate float64) *busyWorkspace {
+	f := &busyWorkspace{zone: newZones(t, 6, hostsPerZone, 60), byHost: map[string]float64{}, demand: 6,
 		workspace: routing.Workspace{Name: "w", Rate: rate, Burst: rate, InTokens: true},
-		bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, QuotaWindow: quotaWindow, QuotaOver: 0.25,
+		bounds: Bounds{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryExtra: 1000, QuotaWindow: quotaWindow, QuotaOverage: 0.25,
 			QuotaSlack: 190_000}}
 	for _, h := range f.hosts {
 		f.post(h, SettingsChanged{Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
@@ -57,20 +56,20 @@
 	return f
 }
 
-// ask runs the hot workspace; at is called at each step with the time since the beginning.
-func (f *hotWorkspace) ask(at func(time.Duration)) {
+// submitRequests submits the workspace's requests and calls at before each step with the time since the beginning.
+func (f *busyWorkspace) submitRequests(at func(time.Duration)) {
 	due := 0.0
-	for since := time.Duration(0); since < hotAt+hotFor; since += quotaStep {
+	for since := time.Duration(0); since < burstAt+burstDuration; since += quotaStep {
 		at(since)
-		times := 0.7
-		if since > hotAt {
-			times = f.times
+		demand := 0.7
+		if since > burstAt {
+			demand = f.demand
 		}
-		due += times * f.workspace.Rate * quotaStep.Seconds()
+		due += demand * f.workspace.Rate * quotaStep.Seconds()
 		for due > 0 {
 			cost := math.Min(53_000, 500+f.rng.ExpFloat64()*4000)
 			due -= cost
-			f.admits(&f.workspace, cost, func(host string) {
+			f.submitFor(&f.workspace, cost, func(host string) {
 				f.step += cost
 				f.byHost[host] += cost
 			})
@@ -81,9 +80,9 @@
 	}
 }
 
-// worst is the most that was admitted in a window, as a part of the operators' bound.
-func (f *hotWorkspace) worst() float64 {
-	bound := (f.workspace.Rate*quotaWindow.Seconds()+f.workspace.Rate)*(1+f.bounds.QuotaOver) + f.bounds.QuotaSlack
+// maxAdmitted returns the largest amount admitted in a window, relative to the operators' bound.
+func (f *busyWorkspace) maxAdmitted() float64 {
+	bound := (f.workspace.Rate*quotaWindow.Seconds()+f.workspace.Rate)*(1+f.bounds.QuotaOverage) + f.bounds.QuotaSlack
 	steps, worst := int(quotaWindow/quotaStep), 0.0
 	for from := 0; from+steps <= len(f.admitted); from++ {
 		sum := 0.0
@@ -95,41 +94,41 @@
 	return worst / bound
 }
 
-// restart starts a host again, with the configuration that others have.
-func (f *hotWorkspace) restart(h *zoneHost, incarnation uint64) {
+// restart replaces a host's process, with the configuration that the other hosts have.
+func (f *busyWorkspace) restart(h *zoneHost, incarnation uint64) {
 	h.r = New(Options{Host: h.ip, Zone: h.zone, Incarnation: incarnation, Seed: incarnation, Seeds: []string{"10.0.0.1", "10.0.0.2"}, Bounds: f.bounds})
-	h.born = f.now
+	h.startedAt = f.now
 	cfg := *f.hosts[1].r.table.Config
 	f.post(h, Update{FromStore: true, Full: true, AsOf: rev(50), Changes: routing.Changes{Config: &cfg}})
 }
 
-// One workspace of a large fleet asks for six times its quota from one moment on. Hosts that heard of each other
-// in slow beats only let it through to the last hundredth of the operators' bound, and on a day with cuts beside it
-// beyond. While a quota is near its end, beats go out twice as often.
+// A workspace of a large fleet suddenly requests six times its quota. Hosts that exchanged only the usual slow
+// heartbeats admitted up to 0.99 of the operators' bound, and more on a day that also had network cuts. Heartbeats
+// are therefore sent twice as often while a quota is nearly used up.
 func TestQuotaHoldsInALargeFleet(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 16)
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 0.89)
+	f := newBusyWorkspace(t, 16)
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 0.89)
 }
 
-// Three hundred hosts, and a workspace that asks for twenty times its quota from one moment on: more than the operators allow goes through.
-// Each host's own part of what the workspace may save up is smaller than one request, and a bucket in credit admits a request of
-// any size, so that nearly all hosts go into debt by most of a request in the same moment. With requests of a twentieth of
-// the size, and twelve times the quota, such a fleet keeps to 0.86 of the bound.
+// A workspace suddenly requests twenty times its quota from three hundred hosts. Each host's share of the burst is
+// smaller than one request, and a bucket with credit admits a request of any size, so nearly all hosts overdrew by
+// most of a request at the same moment and exceeded the bound. With requests of a twentieth of the size and twelve
+// times the quota, such a fleet stays at 0.86 of the bound.
 func TestQuotaHoldsInAFleetOfHundreds(t *testing.T) {
-	f := newHotWorkspace(t, 49)
-	f.times = 20
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 1.0)
+	f := newBusyWorkspace(t, 49)
+	f.demand = 20
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
-// Six times its quota again, in a fleet of 96 hosts, and a third of them start again in the middle of it.
+// A third of a fleet of 96 hosts restarts while a workspace requests six times its quota.
 func TestQuotaHoldsWhileHostsRestart(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 16)
-	f.ask(func(at time.Duration) {
-		if at != hotAt+4*time.Second {
+	f := newBusyWorkspace(t, 16)
+	f.submitRequests(func(at time.Duration) {
+		if at != burstAt+4*time.Second {
 			return
 		}
 		for i, h := range f.hosts {
@@ -138,21 +137,20 @@
 			}
 		}
 	})
-	require.Less(t, f.worst(), 1.0)
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
-// A third of the hosts of a large fleet are cut off from all others, each alone, while a workspace asks for six
-// times its quota. Each heard no word of others any more, went on to refill as if they admitted nothing until it
-// noticed, and took all callers for its own: together they let through twice the quota, twenty times their even
-// part each. They keep to little more than their even part now.
-func TestHostsThatHearNobodyKeepToTheirPart(t *testing.T) {
+// A third of the hosts are disconnected, each alone, while a workspace requests six times its quota. Each used to
+// refill as if the others admitted nothing until it noticed, and to count all callers as its own: together they
+// admitted twice the quota, twenty times their even share each. They must stay close to their even share.
+func TestDisconnectedHostsStayNearTheirEvenShare(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 16)
+	f := newBusyWorkspace(t, 16)
 	cut := map[string]bool{}
 	for i, h := range f.hosts {
 		cut[h.ip] = i%3 == 0
 	}
-	alone := func() float64 {
+	cutOffTokens := func() float64 {
 		sum := 0.0
 		for host, tokens := range f.byHost {
 			if cut[host] {
@@ -162,51 +160,51 @@
 		return sum
 	}
 	var before float64
-	f.ask(func(at time.Duration) {
+	f.submitRequests(func(at time.Duration) {
 		switch at {
-		case hotAt + 2*time.Second:
-			f.lost = func(from, to string, _ *gossippb.Packet) bool { return cut[from] || cut[to] }
-		case hotAt + 6*time.Second:
-			before = alone()
+		case burstAt + 2*time.Second:
+			f.drops = func(from, to string, _ *gossippb.Packet) bool { return cut[from] || cut[to] }
+		case burstAt + 6*time.Second:
+			before = cutOffTokens()
 		}
 	})
-	share := (alone() - before) / (quotaRate * (hotFor - 6*time.Second).Seconds())
-	require.Less(t, share, 0.5, "their even part is a third")
-	require.Less(t, f.worst(), 1.0)
+	share := (cutOffTokens() - before) / (quotaRate * (burstDuration - 6*time.Second).Seconds())
+	require.Less(t, share, 0.5, "their even share is one third")
+	require.Less(t, f.maxAdmitted(), 1.0)
 	require.Positive(t, share)
 }
 
-// The zones of a fleet are cut off from each other for longer than a quarter of a minute, as regions are for an hour
-// now and then, and a workspace asks all of them for six times its quota. After fifteen seconds each zone had forgotten
-// the others, divided the quota among its own hosts only and let a whole quota through: 4.16 times the bound together.
+// The zones are disconnected from each other for 20 s, as regions occasionally are for an hour, while a workspace
+// requests six times its quota from all of them. When zones were forgotten after 15 s, each divided the quota among
+// its own hosts only, and together they admitted 4.16 times the bound.
 func TestQuotaHoldsWhileZonesAreApartForLong(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 16)
+	f := newBusyWorkspace(t, 16)
 	zoneOf := map[string]string{}
 	for _, h := range f.hosts {
 		zoneOf[h.ip] = h.zone
 	}
-	f.lost = func(from, to string, _ *gossippb.Packet) bool { return zoneOf[from] != zoneOf[to] }
+	f.drops = func(from, to string, _ *gossippb.Packet) bool { return zoneOf[from] != zoneOf[to] }
 	f.run(20*time.Second, 0)
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 1.0)
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
-// The same with twelve hosts, each of them cut off from all others: 4.16 times the bound, and 2.25 with the longer
-// memory alone, since each had kept a bucket as full as the whole fleet's.
+// The same with twelve hosts that are all disconnected from each other. They admitted 4.16 times the bound, and 2.25
+// times with longer memory alone, because each kept a bucket as full as the whole fleet's.
 func TestQuotaHoldsWhileHostsAreAloneForLong(t *testing.T) {
 	t.Parallel()
-	f := newHotWorkspace(t, 2)
-	f.lost = func(string, string, *gossippb.Packet) bool { return true }
+	f := newBusyWorkspace(t, 2)
+	f.drops = func(string, string, *gossippb.Packet) bool { return true }
 	f.run(20*time.Second, 0)
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 1.0)
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
 const smallRate = 47_000.0
 
-// Guards against a workspace that is refused far under its quota because its callers come to few of hundreds of hosts, each of
-// whose parts of the quota is a small fraction of one request.
+// Guards against refusing a workspace far below its quota when its callers reach only a few of hundreds of hosts,
+// whose shares of the quota are small fractions of one request.
 func TestSmallWorkspaceIsNotRefusedUnderItsQuota(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 49, smallRate)
@@ -225,26 +223,27 @@
 		}
 		f.run(quotaStep, 0)
 	}
-	require.Zero(t, f.unplaced)
+	require.Zero(t, f.unassigned)
 	require.LessOrEqual(t, asked-admitted, asked/100)
 }
 
-// Guards against small quotas that hundreds of hosts overdraw: each lets one request through that is many times its part.
+// Guards against hundreds of hosts overdrawing a small quota, each by one request many times its share.
 func TestSmallQuotaHoldsInAFleetOfHundreds(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 49, smallRate)
-	f.times = 20
-	f.ask(func(time.Duration) {})
-	require.Less(t, f.worst(), 1.0)
+	f.demand = 20
+	f.submitRequests(func(time.Duration) {})
+	require.Less(t, f.maxAdmitted(), 1.0)
 }
 
-// Guards against a quota that nobody decides over for seconds after its owners have died, or that is overdrawn as others take over.
+// Guards against a quota without an owner for seconds after its owners have crashed, and against overdrawing it while
+// others take over.
 func TestQuotaHoldsAsItsOwnersDie(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 16, smallRate)
-	f.times = 8
-	f.ask(func(at time.Duration) {
-		if at < hotAt || at%(4*time.Second) != 0 {
+	f.demand = 8
+	f.submitRequests(func(at time.Duration) {
+		if at < burstAt || at%(4*time.Second) != 0 {
 			return
 		}
 		for zone := range 6 {
@@ -253,43 +252,43 @@
 			}
 		}
 	})
-	require.Less(t, f.worst(), 1.0)
+	require.Less(t, f.maxAdmitted(), 1.0)
 	late := 0.0
 	for _, v := range f.admitted[len(f.admitted)/2:] {
 		late += v
 	}
-	require.Greater(t, late, 0.8*smallRate*(hotAt+hotFor).Seconds()/2, "the workspace has its quota all the while")
+	require.Greater(t, late, 0.8*smallRate*(burstAt+burstDuration).Seconds()/2, "the workspace keeps getting its quota")
 }
 
-// Guards against an owner's late answer that charges a workspace for a request which was decided without it, and against the cost
-// of a request that finds no place staying charged at the owner.
+// Guards against charging a workspace for a request decided without its owner, whose reply came late, and against
+// keeping the charge of a request that is refused for lack of a slot.
 func TestWhatAnOwnerAdmitsAndDoesNotRunIsGivenBack(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 16, smallRate)
-	asker := f.hosts[0]
-	owner := f.byIP[asker.r.quotaOwners("w")[0]]
-	if owner == asker {
-		asker = f.hosts[1]
+	requester := f.hosts[0]
+	owner := f.byIP[requester.r.quotaOwners("w")[0]]
+	if owner == requester {
+		requester = f.hosts[1]
 	}
 	spent := func() float64 { return owner.r.quotas["w"].Spent() }
 	f.next++
-	f.post(asker, Submit{ID: f.next, Route: urgent, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
-	f.post(asker, CallerLeft{ID: f.next}) // its caller leaves before the owner answers
+	f.post(requester, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
+	f.post(requester, CallerLeft{ID: f.next}) // its caller leaves before the owner replies
 	f.run(20*time.Millisecond, 0)
 	require.Zero(t, spent())
 
-	for _, b := range asker.r.allBackends() {
+	for _, b := range requester.r.allBackends() {
 		b.evacuated = true
 	}
 	f.next++
-	f.runs[f.next] = &zoneRun{host: asker, came: f.now}
-	f.post(asker, Submit{ID: f.next, Route: urgent, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
+	f.runs[f.next] = &zoneRun{host: requester, submittedAt: f.now}
+	f.post(requester, Submit{ID: f.next, Route: urgentRoute, Workspace: &f.workspace, Cost: 1000, Deadline: f.now + time.Second})
 	f.run(20*time.Millisecond, 0)
 	require.Equal(t, 1, f.refused)
 	require.Zero(t, spent())
 }
 
-// Guards against hosts that each take themselves for the owner of a quota and each give out their zone's part of it.
+// Guards against several hosts considering themselves owner of a quota and each granting their zone's share.
 func TestOnlyOwnersDecideOverAQuota(t *testing.T) {
 	t.Parallel()
 	f := newWorkspace(t, 16, smallRate)
@@ -298,7 +297,7 @@
 	for _, h := range f.hosts[:16] {
 		require.Equal(t, owners, h.r.quotaOwners("w"), "%s", h.ip)
 		var answer *gossippb.Charged
-		for _, e := range effectsOf[Send](h.r.Reduce(f.now, ChargeRequestReceived{"10.0.0.99", &gossippb.Charge{Number: 1, Workspace: "w", Cost: 10}})) {
+		for _, e := range effectsOf[Send](h.r.Reduce(f.now, QuotaRequestReceived{"10.0.0.99", &gossippb.Charge{Number: 1, Workspace: "w", Cost: 10}})) {
 			answer = e.Packet.Charged
 		}
 		require.NotNil(t, answer)
@@ -306,18 +305,18 @@
 	}
 }
 
-// Guards against sums that name all of hundreds of workspaces each time: passed on to a hundred hosts at once they overflow a small
-// host's link, and those who miss them take the zone for cut off.
-func TestSumsNameWhatWasSpentSince(t *testing.T) {
+// Guards against zone summaries that list all of hundreds of workspaces each time. Relayed to a hundred hosts at once
+// they overflow a small host's link, and hosts that miss them consider the zone disconnected.
+func TestSummariesListOnlyNewSpending(t *testing.T) {
 	const workspaces = 200
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	cfg := &routing.Config{Version: 9}
 	for i := range workspaces {
 		cfg.Workspaces = append(cfg.Workspaces, routing.Workspace{Name: fmt.Sprintf("w%03d", i), Rate: 1e6, Burst: 1e6, InTokens: true})
 	}
 	b.post(Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: cfg}})
 	for _, q := range b.r.quotas {
-		ok, _ := q.Admit(b.now, 10, b.r.ownPart())
+		ok, _ := q.Admit(b.now, 10, b.r.hostScope())
 		require.True(t, ok)
 	}
 	require.Len(t, b.r.spentToSend(), workspaces, "all have changed")
@@ -330,8 +329,8 @@
 			named[s.Workspace]++
 		}
 	}
-	require.Len(t, named, workspaces, "what was lost is told again")
-	ok, _ := b.r.quotas["w123"].Admit(b.now, 10, b.r.ownPart())
+	require.Len(t, named, workspaces, "lost updates are repeated")
+	ok, _ := b.r.quotas["w123"].Admit(b.now, 10, b.r.hostScope())
 	require.True(t, ok)
 	names := []string{}
 	for _, s := range b.r.spentToSend() {
@@ -340,18 +339,18 @@
 	require.Contains(t, names, "w123")
 }
 
-// Guards against requests that are decided by a host's own small part for as long as a dead owner of their quota seems to live.
+// Guards against hosts deciding by their own small share of a quota until a crashed owner is detected.
 func TestSecondOwnerDecidesWhileTheFirstIsSilent(t *testing.T) {
 	f := newWorkspace(t, 16, smallRate)
 	owners := f.hosts[0].r.quotaOwners("w")
 	f.byIP[owners[0]].dead = true
-	asker := f.hosts[slices.IndexFunc(f.hosts, func(h *zoneHost) bool { return !slices.Contains(owners, h.ip) })]
+	requester := f.hosts[slices.IndexFunc(f.hosts, func(h *zoneHost) bool { return !slices.Contains(owners, h.ip) })]
 	admitted := 0
 	for range 3 {
-		f.submitAt(asker, &f.workspace, 1000, func(string) { admitted++ })
+		f.submitAt(requester, &f.workspace, 1000, func(string) { admitted++ })
 		f.run(100*time.Millisecond, 0)
 	}
 	require.Equal(t, 3, admitted)
 	require.InDelta(t, 3000, f.byIP[owners[1]].r.quotas["w"].Spent(), 0.1)
-	require.Zero(t, asker.r.quotas["w"].Spent())
+	require.Zero(t, requester.r.quotas["w"].Spent())
 }
--- a/internal/router/quotas.go
+++ b/internal/router/quotas.go
@@ -12,28 +12,29 @@
 	"fireflyshift/internal/routing"
 )
 
-// In a fleet of hundreds one host's part of a quota is smaller than one request, so that parts that are kept apart refuse
-// workspaces far under their quotas. So each workspace's quota has an owner in each availability zone, a host that all compute
-// alike. It is asked for each request and decides for its zone. What the owners of the zones admit they hear of each other as
-// hosts do, in beats and sums, but there are only as many of them as zones. A host whose question is not answered decides alone.
+// In a fleet of hundreds of hosts, one host's share of a quota is smaller than one request, so separate shares would refuse
+// workspaces far below their quotas. Each workspace's quota therefore has an owner in each availability zone, computed by every
+// host alike, which decides on each request in its zone. Owners learn what the other zones admitted from heartbeats and zone
+// summaries, as hosts do, but there are only as many owners as zones. A host whose call gets no reply decides locally.
 
-// charge is a question to a quota's owner.
-type charge struct {
+// quotaRequest is a call to a quota's owner.
+type quotaRequest struct {
 	ownerCall
 	workspace string
 	cost      float64
 }
 
-// quotaState is what this host knows of quotas beyond the buckets.
+// quotaState is the quota state of this host besides the token buckets.
 type quotaState struct {
-	// owners are by workspace, as long as the hosts of the zone stay the same.
+	// owners holds the owners by workspace. It is reset when the zone's owner candidates change.
 	owners  map[string][]string
-	charges ownerCalls[*charge]
+	pending ownerCalls[*quotaRequest]
 }
 
 func newQuotaState() quotaState { return quotaState{owners: map[string][]string{}} }
 
-// CostOf is what a request counts against a workspace's quota.
+// CostOf returns the cost of a request in the unit of the workspace's quota. hasTokens states whether the
+// token counts are known.
 func CostOf(w *routing.Workspace, hasTokens bool, prompt, output int) float64 {
 	switch {
 	case !w.InTokens:
@@ -45,55 +46,57 @@
 	}
 }
 
-// charge takes a request's cost from its workspace's quota, or asks its owner to, and sends the request on or refuses it.
-func (r *Router) charge(q *request) {
+// chargeQuota charges a request to its workspace's quota, itself or through the quota's owner, and dispatches
+// or refuses the request.
+func (r *Router) chargeQuota(q *request) {
 	if q.Workspace == nil || r.quotas[q.Workspace.Name] == nil {
-		r.admitted(q)
+		r.dispatchAdmitted(q)
 		return
 	}
 	switch owner := r.quotaOwner(q.Workspace.Name); owner {
 	case "":
-		r.chargeHere(q, r.ownPart())
+		r.chargeLocally(q, r.hostScope())
 	case r.opt.Host:
-		r.chargeHere(q, r.zonePart())
+		r.chargeLocally(q, r.zoneScope())
 	default:
-		r.askCharge(q, owner)
+		r.requestQuota(q, owner)
 	}
 }
 
-// ownPart is the part of a host that decides for itself only, zonePart that of one that decides for the hosts of its zone that it
-// hears.
-func (r *Router) ownPart() limit.Scope {
-	known, heard := r.countHosts()
-	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(heard) / float64(known)}
+// hostScope returns the scope of a host that decides for itself only, zoneScope that of one that decides for the
+// reachable hosts of its zone.
+func (r *Router) hostScope() limit.Scope {
+	known, reachable := r.countHosts()
+	return limit.Scope{Hosts: known, Members: 1, Reachable: float64(reachable) / float64(known)}
 }
 
-func (r *Router) zonePart() limit.Scope {
-	p := r.ownPart()
+func (r *Router) zoneScope() limit.Scope {
+	p := r.hostScope()
 	_, p.Members = r.countDirectHosts()
 	return p
 }
 
-// quotaOwners are the hosts of this zone that decide for it over a workspace's quota: the first by rendezvous hashing of those that
-// live, stay and have run for long enough to know all others, and the one that is asked while it does not answer. Empty in a small
-// fleet, whose hosts decide alone, and where there is none.
+// quotaOwners returns the hosts of this zone that decide on a workspace's quota: the first by rendezvous hashing
+// over those that are up, not leaving and have run for long enough to know all others, and a second one that is
+// called while the first does not reply. It is empty in a small fleet, whose hosts decide locally, and if there
+// is no such host.
 func (r *Router) quotaOwners(workspace string) []string {
-	if !r.sharing() {
+	if !r.usesOwners() {
 		return nil
 	}
-	r.ownShards() // forgets the owners of quotas where the hosts have changed
-	owners, known := r.limits.owners[workspace]
+	r.localShardOwners() // resets the owners of quotas if the hosts have changed
+	owners, known := r.quotaState.owners[workspace]
 	if !known {
-		if r.owners.ofAge {
-			first, second := bestTwo(r.owners.hosts, xxhash.Sum64String("quota|"+workspace))
+		if r.owners.established {
+			first, second := rendezvousTopTwo(r.owners.candidates, xxhash.Sum64String("quota|"+workspace))
 			owners = slices.DeleteFunc([]string{first, second}, func(h string) bool { return h == "" })
 		}
-		r.limits.owners[workspace] = owners
+		r.quotaState.owners[workspace] = owners
 	}
 	return owners
 }
 
-// quotaOwner is the one of them to ask now; empty where none answers.
+// quotaOwner returns the quota owner to call now, or "" if none is expected to reply.
 func (r *Router) quotaOwner(workspace string) string {
 	for _, owner := range r.quotaOwners(workspace) {
 		if owner == r.opt.Host || r.canAsk(owner) {
@@ -103,51 +106,51 @@
 	return ""
 }
 
-// chargeHere decides by what this host believes of the quota.
-func (r *Router) chargeHere(q *request, part limit.Scope) {
+// chargeLocally decides by this host's own view of the quota.
+func (r *Router) chargeLocally(q *request, scope limit.Scope) {
 	quota := r.quotas[q.Workspace.Name]
-	ok, back := r.admit(quota, q.Cost, part)
+	ok, retryAfter := r.admit(quota, q.Cost, scope)
 	if !ok {
 		delete(r.requests, q.ID)
-		r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: back, Basis: r.quotaGrounds(q, quota)})
+		r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: retryAfter, Basis: r.quotaBasis(q, quota)})
 		return
 	}
 	q.charged = true
-	r.admitted(q)
+	r.dispatchAdmitted(q)
 }
 
-func (r *Router) admit(quota *limit.Quota, cost float64, part limit.Scope) (ok bool, back time.Duration) {
-	ok, back = quota.Admit(r.now, cost, part)
+func (r *Router) admit(quota *limit.Quota, cost float64, scope limit.Scope) (ok bool, retryAfter time.Duration) {
+	ok, retryAfter = quota.Admit(r.now, cost, scope)
 	if quota.NearlyExhausted() {
-		r.quotaLowUntil = r.now + tightFor
+		r.quotaLowUntil = r.now + quotaLowDuration
 	}
-	return ok, back
+	return ok, retryAfter
 }
 
-func (r *Router) quotaGrounds(q *request, quota *limit.Quota) DecisionBasis {
-	g := r.grounds()
+func (r *Router) quotaBasis(q *request, quota *limit.Quota) DecisionBasis {
+	g := r.basis()
 	g.ViewAge = r.oldestHeartbeatAge()
 	g.Quota.Cost = q.Cost
 	g.Quota.Remaining, g.Quota.OwnShare = quota.Remaining()
 	return g
 }
 
-func (r *Router) askCharge(q *request, owner string) {
-	c := &charge{ownerCall{number: r.limits.charges.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.Workspace.Name, q.Cost}
-	q.charging = c
-	r.limits.charges.add(c)
-	r.sendCharge(owner, &gossippb.Charge{Number: c.number, Workspace: c.workspace, Cost: c.cost})
+func (r *Router) requestQuota(q *request, owner string) {
+	c := &quotaRequest{ownerCall{number: r.quotaState.pending.next(), requestID: q.ID, owner: owner, sentAt: r.now}, q.Workspace.Name, q.Cost}
+	q.quotaCall = c
+	r.quotaState.pending.add(c)
+	r.sendQuotaRequest(owner, &gossippb.Charge{Number: c.number, Workspace: c.workspace, Cost: c.cost})
 }
 
-func (r *Router) sendCharge(owner string, c *gossippb.Charge) {
+func (r *Router) sendQuotaRequest(owner string, c *gossippb.Charge) {
 	r.emit(Send{To: []string{owner}, Packet: &gossippb.Packet{Charge: c}})
 }
 
-// chargeAsked decides over another host's request, or takes back what has not run. Two hosts that disagree who owns a quota would
-// each give out their zone's part: only one that takes itself for an owner decides.
-func (r *Router) chargeAsked(from string, c *gossippb.Charge) {
+// handleQuotaRequest decides on another host's request, or refunds one that has not run. If two hosts disagree
+// about the owner, both would grant their zone's share, so a host decides only if it considers itself an owner.
+func (r *Router) handleQuotaRequest(from string, c *gossippb.Charge) {
 	quota, known := r.quotas[c.Workspace]
-	cost := costOf(c)
+	cost := clampCost(c)
 	if c.Back {
 		if known {
 			quota.Refund(cost)
@@ -156,94 +159,94 @@
 	}
 	answer := &gossippb.Charged{Number: c.Number, Unknown: true}
 	if known && slices.Contains(r.quotaOwners(c.Workspace), r.opt.Host) {
-		ok, back := r.admit(quota, cost, r.zonePart())
-		answer.Unknown, answer.Admitted, answer.BackMs = false, ok, uint32(max(0, back.Milliseconds()))
+		ok, retryAfter := r.admit(quota, cost, r.zoneScope())
+		answer.Unknown, answer.Admitted, answer.BackMs = false, ok, uint32(max(0, retryAfter.Milliseconds()))
 		answer.Left, answer.Own = quota.Remaining()
 	}
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Charged: answer}})
 }
 
-// mostCost bounds what one question can take from a quota: no engine's memory holds more tokens.
-const mostCost = 1 << 24
+// maxCost limits the cost of one request from another host. No engine's memory holds more tokens.
+const maxCost = 1 << 24
 
-func costOf(c *gossippb.Charge) float64 {
+func clampCost(c *gossippb.Charge) float64 {
 	if math.IsNaN(c.Cost) {
-		return mostCost
+		return maxCost
 	}
-	return min(max(0, c.Cost), mostCost)
+	return min(max(0, c.Cost), maxCost)
 }
 
-// chargeAnswered takes an owner's answer.
-func (r *Router) chargeAnswered(from string, a *gossippb.Charged) {
-	c, ok := r.limits.charges.take(from, a.Number)
+// handleQuotaReply processes an owner's reply.
+func (r *Router) handleQuotaReply(from string, a *gossippb.Charged) {
+	c, ok := r.quotaState.pending.take(from, a.Number)
 	if !ok {
 		return
 	}
 	r.replyReceived(from)
 	q, known := r.requests[c.requestID]
-	if !known || q.charging != c {
+	if !known || q.quotaCall != c {
 		if a.Admitted {
-			r.sendCharge(from, &gossippb.Charge{Workspace: c.workspace, Cost: c.cost, Back: true})
+			r.sendQuotaRequest(from, &gossippb.Charge{Workspace: c.workspace, Cost: c.cost, Back: true})
 		}
 		return
 	}
 	if a.Unknown {
-		r.chargeElsewhere(q)
+		r.chargeAtNextOwner(q)
 		return
 	}
-	q.charging = nil
+	q.quotaCall = nil
 	if quota := r.quotas[c.workspace]; quota != nil {
-		quota.NoteRemoteDecision(r.now, c.cost, r.ownPart())
+		quota.NoteRemoteDecision(r.now, c.cost, r.hostScope())
 	}
 	if a.Admitted {
 		q.charged, q.chargedBy = true, from
-		r.admitted(q)
+		r.dispatchAdmitted(q)
 		return
 	}
 	delete(r.requests, q.ID)
-	g := r.grounds()
+	g := r.basis()
 	g.Owner, g.ViewAge = from, r.now-c.sentAt
 	g.Quota = QuotaBasis{Cost: q.Cost, Remaining: a.Left, OwnShare: a.Own}
 	r.emit(Refuse{ID: q.ID, Cause: OverQuota, RetryAfter: time.Duration(a.BackMs) * time.Millisecond, Basis: g})
 }
 
-// chargeAlone decides for a request whose owner does not.
-func (r *Router) chargeAlone(q *request) {
+// chargeWithoutOwner decides locally on a request that no owner decides.
+func (r *Router) chargeWithoutOwner(q *request) {
 	if r.quotas[q.Workspace.Name] == nil {
-		r.admitted(q) // the quota was lifted meanwhile
+		r.dispatchAdmitted(q) // the quota was removed meanwhile
 		return
 	}
-	r.chargeHere(q, r.ownPart())
+	r.chargeLocally(q, r.hostScope())
 }
 
-// expireCharges asks the other owner where a question was not answered in time, or decides alone.
-func (r *Router) expireCharges() {
-	for _, c := range r.limits.charges.overdue(r.now) {
+// expireQuotaRequests passes requests whose owner did not reply in time to the next owner, or decides locally.
+func (r *Router) expireQuotaRequests() {
+	for _, c := range r.quotaState.pending.overdue(r.now) {
 		r.replyMissed(c.owner)
-		if q, ok := r.requests[c.requestID]; ok && q.charging == c {
-			r.chargeElsewhere(q)
+		if q, ok := r.requests[c.requestID]; ok && q.quotaCall == c {
+			r.chargeAtNextOwner(q)
 		}
 	}
 }
 
-// chargeElsewhere asks the next owner where one does not decide, or decides alone.
-func (r *Router) chargeElsewhere(q *request) {
-	asked := q.charging
-	q.charging = nil
-	switch next := r.nextQuotaOwner(asked); {
-	case next == r.opt.Host && r.quotas[asked.workspace] != nil:
-		r.chargeHere(q, r.zonePart())
+// chargeAtNextOwner calls the next owner if one does not decide, or decides locally.
+func (r *Router) chargeAtNextOwner(q *request) {
+	previous := q.quotaCall
+	q.quotaCall = nil
+	switch next := r.nextQuotaOwner(previous); {
+	case next == r.opt.Host && r.quotas[previous.workspace] != nil:
+		r.chargeLocally(q, r.zoneScope())
 	case next != "" && next != r.opt.Host:
-		r.askCharge(q, next)
+		r.requestQuota(q, next)
 	default:
-		r.chargeAlone(q)
+		r.chargeWithoutOwner(q)
 	}
 }
 
-// nextQuotaOwner is the owner after the one that was asked; empty where there is none that answers.
-func (r *Router) nextQuotaOwner(asked *charge) string {
-	owners := r.quotaOwners(asked.workspace)
-	next := slices.Index(owners, asked.owner) + 1
+// nextQuotaOwner returns the owner after the one that was called, or "" if none is expected to reply.
+func (r *Router) nextQuotaOwner(previous *quotaRequest) string {
+	owners := r.quotaOwners(previous.workspace)
+	next := slices.Index(owners, previous.owner) + 1
 	if next == 0 || next >= len(owners) {
 		return ""
 	}
@@ -253,14 +256,14 @@
 	return ""
 }
 
-// refund gives the cost back of what has not run.
+// refund returns the cost of a request that has not run.
 func (r *Router) refund(q *request) {
 	if !q.charged || q.ran {
 		return
 	}
 	q.charged = false
 	if q.chargedBy != "" {
-		r.sendCharge(q.chargedBy, &gossippb.Charge{Workspace: q.Workspace.Name, Cost: q.Cost, Back: true})
+		r.sendQuotaRequest(q.chargedBy, &gossippb.Charge{Workspace: q.Workspace.Name, Cost: q.Cost, Back: true})
 		return
 	}
 	if quota, ok := r.quotas[q.Workspace.Name]; ok {
--- a/internal/router/reading.go
+++ b/internal/router/reading.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	// readers are the hosts of a zone that read the platform's store, where zones relay.
-	readers = 3
-	// fewestReaders of the other hosts of a zone must be in contact with the store for a host to rely
-	// on them, and readAlone is how long it waits for them. With contactFresh, a zone whose readers
-	// are all cut off from the store at once hears of a change within three seconds.
-	fewestReaders = 2
-	readAlone     = 400 * time.Millisecond
-	// listingMost is how long a host that lists the store counts as one that is about to be in contact.
-	listingMost = 2 * time.Second
-	// contactFresh is how old the store's latest answer may be for a host to count as in contact: a
-	// watch that hears nothing is answered sooner.
-	contactFresh = 2200 * time.Millisecond
-	// startWait is how long a starting host listens for peers at most before it reads the store: where
-	// there are many, they have the news already.
-	startWait = 250 * time.Millisecond
+	// readersPerZone is the number of hosts of a zone that read the platform's store in a large fleet.
+	readersPerZone = 3
+	// minReaders is the number of other hosts of the zone that must be in contact with the store for a host to rely
+	// on them, and readersTimeout how long it waits for them. With storeContactTTL, a zone whose readers
+	// all lose the store at once learns of a change within three seconds.
+	minReaders     = 2
+	readersTimeout = 400 * time.Millisecond
+	// maxListingDuration is how long a host that is listing the store counts as about to be in contact with it.
+	maxListingDuration = 2 * time.Second
+	// storeContactTTL is how long after the store's latest answer a host counts as in contact with it: a
+	// watch without changes is answered sooner.
+	storeContactTTL = 2200 * time.Millisecond
+	// maxStartDelay is the longest time that a starting host waits for peers before it reads the store: if there are many,
+	// they have the data already.
+	maxStartDelay = 250 * time.Millisecond
 )
 
-// firstRead draws when a starting host reads the store. Where all hosts start together, as after a loss of
-// power, somebody has to read first, and all others get the news from it: a host that is named as a seed
-// reads at once, as everybody greets it, and the others wait for it at unlike times. Before, all waited
-// startWait, and refused a quarter of a second's requests for want of a configuration. The root makes early
-// reads rare in a fleet of hundreds whose seeds are down.
+// firstRead chooses when a starting host reads the store. If all hosts start together, as after a power
+// failure, some must read first and the others get the data from them: a seed reads at once, as all
+// hosts contact it, and the others wait for a random time. When all waited maxStartDelay, requests of a quarter of a
+// second were refused for lack of a configuration. The square root makes early reads rare in a fleet of hundreds whose
+// seeds are down.
 func (r *Router) firstRead() time.Duration {
 	if slices.Contains(r.opt.Seeds, r.opt.Host) {
 		return 0
 	}
-	return time.Duration(math.Sqrt(r.rng.Float64()) * float64(startWait))
+	return time.Duration(math.Sqrt(r.rng.Float64()) * float64(maxStartDelay))
 }
 
-// decideReading turns the reading of the store on or off: on everywhere in a small fleet; in a large
-// one on the first hosts of each zone. Where too few of these are in contact with the store, or about to be, as they may be
-// cut off from it, several times as many read after each readAlone: all hosts of a large zone that listed the store at once
-// cost more than the readers do in a day.
-func (r *Router) decideReading() {
+// updateReading turns reading of the store on or off: on everywhere in a small fleet; in a large one on the hosts with
+// that role in each zone. If too few of these are in contact with the store, or about to be, they may be cut off from it, and
+// readerGrowth times as many read after each readersTimeout. Not all at once: if all hosts of a large zone listed the store
+// together, it would cost more than the readers do in a day.
+func (r *Router) updateReading() {
 	if !r.zones.readingDecided && r.now < r.zones.firstRead {
 		return
 	}
@@ -54,11 +54,11 @@
 			listing++
 		}
 	}
-	if others+listing >= fewestReaders {
+	if others+listing >= minReaders {
 		r.zones.readersSeenAt = r.now
 	}
-	on := !r.largeFleet() || r.hasRole("reads the store", r.readersNow())
-	if r.updates.reading && r.zones.readingDecided && others < readers {
+	on := !r.largeFleet() || r.hasRole("reads the store", r.readerCount())
+	if r.updates.reading && r.zones.readingDecided && others < readersPerZone {
 		on = true // until others have taken over
 	}
 	shared := on && r.largeFleet()
@@ -66,42 +66,42 @@
 		return
 	}
 	if on && !r.updates.reading {
-		r.updates.listedAt, r.updates.failed = r.now, false
+		r.updates.listedAt, r.updates.storeFailed = r.now, false
 	}
 	r.zones.readingDecided = true
 	r.zones.shared = shared
 	r.updates.reading = on
 	if !on {
-		r.updates.lost = true
+		r.updates.storeLost = true
 	}
 	r.emit(ReadStore{on, shared})
 	r.emit(Note{What: "reads the store", Detail: onOff(on)})
 }
 
-// readersNow is how many hosts of the zone read the store by now.
-func (r *Router) readersNow() int {
-	n := readers
-	for waits := (r.now - r.zones.readersSeenAt) / readAlone; waits > 0 && n < maxReaders; waits-- {
-		n *= moreReaders
+// readerCount is the number of hosts of the zone that should read the store now.
+func (r *Router) readerCount() int {
+	n := readersPerZone
+	for rounds := (r.now - r.zones.readersSeenAt) / readersTimeout; rounds > 0 && n < maxReaders; rounds-- {
+		n *= readerGrowth
 	}
 	return n
 }
 
 const (
-	// moreReaders is how many times more hosts read after each readAlone, and maxReaders more than any zone has. With twice as
-	// many a zone whose next readers are cut off too would wait for seconds.
-	moreReaders = 8
-	maxReaders  = 1 << 12
+	// readerGrowth is the factor by which readers increase after each readersTimeout, and maxReaders exceeds the size of any
+	// zone. With a factor of two, a zone whose next readers are cut off too would wait for seconds.
+	readerGrowth = 8
+	maxReaders   = 1 << 12
 )
 
-// lists tells that this host has begun to read the store, which has neither answered nor failed yet.
-func (r *Router) lists() bool {
-	return r.updates.reading && r.updates.lost && !r.updates.failed && r.now-r.updates.listedAt < listingMost
+// listingStore reports whether this host has begun to read the store and awaits its first answer.
+func (r *Router) listingStore() bool {
+	return r.updates.reading && r.updates.storeLost && !r.updates.storeFailed && r.now-r.updates.listedAt < maxListingDuration
 }
 
-// inContact tells whether the store has lately answered this host.
-func (r *Router) inContact() bool {
-	return r.updates.reading && !r.updates.lost && r.now-r.updates.heardAt < contactFresh
+// storeAnswers reports whether the store has answered this host within storeContactTTL.
+func (r *Router) storeAnswers() bool {
+	return r.updates.reading && !r.updates.storeLost && r.now-r.updates.storeAnsweredAt < storeContactTTL
 }
 
 func onOff(b bool) string {
--- a/internal/router/regions_test.go
+++ b/internal/router/regions_test.go
@@ -9,15 +9,15 @@
 	"fireflyshift/internal/routing"
 )
 
-// Route and workspace each name the only regions that may serve them. A request goes to no backend server elsewhere, and where
-// they name no common one it is refused as not run, with a time to come back.
+// Route and workspace may each list the only regions that may serve a request. It goes to no backend server elsewhere, and if
+// the lists have no region in common it is refused as not run, with a time to retry after.
 func TestRequestsStayInTheirRegions(t *testing.T) {
-	r := lone(t, "a", "b", "c")
+	r := newStandalone(t, "a", "b", "c")
 	r.opt.Regions = map[string]string{"z0": "north", "z1": "north", "z2": "south"}
 	for i, id := range []string{"a", "b", "c"} {
 		ch := changeOf(id, uint64(60+i), false)
 		ch.Zone = []string{"z0", "z1", "z2"}[i]
-		registers(r, time.Second, ch)
+		register(r, time.Second, ch)
 	}
 	regions := func(names ...string) []string { return names }
 	id := uint64(0)
@@ -26,10 +26,10 @@
 		seen := map[string]bool{}
 		for range 40 {
 			id++
-			to := *urgent
+			to := *urgentRoute
 			to.Regions = route
 			out := r.Reduce(at, Submit{ID: id, Route: &to, Workspace: &routing.Workspace{Name: "w", Regions: workspace}, Deadline: time.Minute})
-			if back, refused := has[Refuse](out); refused {
+			if back, refused := findEffect[Refuse](out); refused {
 				require.Positive(t, back.RetryAfter)
 				seen["refused"] = true
 				continue
@@ -46,14 +46,14 @@
 	require.Equal(t, only("c"), goes(regions("north", "south"), regions("south")))
 	require.Equal(t, only("refused"), goes(regions("north"), regions("south")))
 	require.Equal(t, only("refused"), goes(regions("atlantis"), nil))
-	registers(r, 8*time.Second, changeOf("c", 90, true))
+	register(r, 8*time.Second, changeOf("c", 90, true))
 	r.Reduce(20*time.Second, Tick{})
 	require.Equal(t, only("refused"), goes(regions("south"), nil), "its backend servers are gone")
 }
 
-// A configuration names a region that no zone is in: one line in the log, each time it changes.
+// A configuration names a region that no zone belongs to: this is logged once each time the configuration changes.
 func TestUnknownRegionsAreNoted(t *testing.T) {
-	r := lone(t, "a")
+	r := newStandalone(t, "a")
 	r.opt.Regions = map[string]string{"z0": "north"}
 	out := r.Reduce(time.Second, Update{FromStore: true, After: rev(50), AsOf: rev(50), Changes: routing.Changes{Config: &routing.Config{Version: 2,
 		Routes: []routing.Route{{Name: "x", Regions: []string{"north", "atlantis"}}, {Name: "y", Regions: []string{"atlantis"}}}}}})
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// maxRejects bounds the backend servers that may reject one request, and maxSends all tries, most
-	// of which then meet servers that are down.
+	// maxRejects limits the backend servers that may reject one request, and maxSends all attempts. Those beyond
+	// the rejected ones mostly fail to connect because the server is down.
 	maxRejects = 4
 	maxSends   = 8
-	// backThird: callers wait as told up to a third of the time they have left.
-	backThird = 3
-	// backFirst is the least time to come back, backRank what each rank of priority adds, and
-	// backSpread the random part, so that those who are refused together do not return together.
-	backFirst  = 150 * time.Millisecond
-	backRank   = 250 * time.Millisecond
-	backSpread = 300 * time.Millisecond
-	// takeWhileDraining is how long after its stop signal a host takes new requests as ever: until
-	// the balancer has seen two probes fail.
-	takeWhileDraining = 3 * time.Second
-	// DrainBack is when a caller whom a draining host turns away should come back: at once, as its next
-	// connection goes to another host. Told to wait like one for whom there is no place, nearly all such
-	// callers were late: a tenth of all while hosts were restarted one after the other.
-	DrainBack = time.Millisecond
-	// lastPlain is how long before its end a draining host still takes plain calls.
-	lastPlain = 1500 * time.Millisecond
+	// retryAfterDivisor limits the retry delay to a third of the caller's remaining time. Callers do not wait longer.
+	retryAfterDivisor = 3
+	// minRetryAfter is the base of the retry delay, retryAfterPerRank is added for each rank of priority, and
+	// retryAfterJitter is the range of the random part, so that callers refused together do not retry together.
+	minRetryAfter     = 150 * time.Millisecond
+	retryAfterPerRank = 250 * time.Millisecond
+	retryAfterJitter  = 300 * time.Millisecond
+	// drainAcceptDuration is how long after its stop signal a host accepts all requests: until the load
+	// balancer has seen two probes fail.
+	drainAcceptDuration = 3 * time.Second
+	// DrainRetryAfter is the retry delay sent by a draining host. It is short because the caller's next
+	// connection goes to another host: with the delay used under overload, nearly all such callers were late,
+	// a tenth of all requests during a rolling restart.
+	DrainRetryAfter = time.Millisecond
+	// drainPlainCutoff is how long before its end a draining host still accepts plain calls.
+	drainPlainCutoff = 1500 * time.Millisecond
 )
 
 // request is one caller's request at this host.
@@ -37,40 +37,41 @@
 	backend *backend
 	attempt int
 	tried   []string
-	// ran is the at-most-once mark: it is set before a dispatch leaves the reducer and taken back
-	// only on proof that the backend server has not run it.
+	// ran is the at-most-once mark. It is set before a dispatch leaves the reducer and reset only on proof
+	// that the backend server has not run the request.
 	ran     bool
 	runs    int
 	sentAt  time.Duration
 	rejects int
-	// charged tells that its cost was taken from its workspace's quota: from what chargedBy holds of it, or where that is
-	// empty this host. charging is the open question for it.
+	// charged is set once the cost was deducted from the workspace's quota, by the host chargedBy, or by this
+	// host if that is empty. quotaCall is the open call for it.
 	charged   bool
 	chargedBy string
-	charging  *charge
-	// queued tells that its backend server was believed to be busy with others when it was sent.
+	quotaCall *quotaRequest
+	// queued is set if the backend server seemed busy with other requests when this one was sent.
 	queued bool
-	// unread are the prompt tokens that its backend server has still to read; zero once its stream begins.
-	unread int
-	// prepaid tells that the retry budget was spent when the move was decided.
-	prepaid bool
-	// asking is the open question for a place, full the owners that had none, and alone tells that an owner
-	// did not answer, so that this host decides. owner is who gave the place; empty where this host took it.
-	asking        *slotRequest
+	// prefillTokens is the request's part of its backend server's prefill backlog. It is zero once the stream
+	// has begun.
+	prefillTokens int
+	// retryPaid is set if the retry budget was charged when the move was decided.
+	retryPaid bool
+	// slotCall is the open slot request and fullOwners are the owners not to ask again: they had no usable slot,
+	// or did not reply from another zone. decideLocally is set if an owner in this zone did not reply. owner granted the slot; it is empty if this host chose the backend server.
+	slotCall      *slotRequest
 	fullOwners    []string
 	decideLocally bool
 	owner         string
-	// onTrial tells that it runs though it is in quarantine, to show whether it does harm.
+	// onTrial is set if the request is quarantined but runs once to test whether it is harmful.
 	onTrial bool
 }
 
-// bucket is where a request is counted among those in flight.
-func (q *request) bucket() int { return min(int(q.Rank+0.5), priorities-1) }
+// priority returns the index under which the request is counted among those in flight.
+func (q *request) priority() int { return min(int(q.Rank+0.5), priorities-1) }
 
 func (r *Router) submit(e Submit) {
 	q := &request{Submit: e}
-	if left := r.drainLeft(e); left {
-		r.emit(Refuse{ID: e.ID, Cause: ShutDown, RetryAfter: DrainBack})
+	if refused := r.drainRefuses(e); refused {
+		r.emit(Refuse{ID: e.ID, Cause: ShutDown, RetryAfter: DrainRetryAfter})
 		return
 	}
 	if e.Deadline <= r.now {
@@ -81,41 +82,41 @@
 		r.invariants.Check(false, "request %d submitted twice", e.ID)
 		return
 	}
-	if back, yes := r.quarantined(q); yes {
-		r.emit(Refuse{ID: e.ID, Cause: Quarantined, RetryAfter: back, Basis: r.grounds()})
+	if retryAfter, yes := r.checkQuarantine(q); yes {
+		r.emit(Refuse{ID: e.ID, Cause: Quarantined, RetryAfter: retryAfter, Basis: r.basis()})
 		return
 	}
 	q.service = r.chooseService(e.Route, e.Workspace)
 	r.requests[e.ID] = q
-	r.charge(q)
+	r.chargeQuota(q)
 }
 
-// admitted sends a request on that its workspace's quota has room for.
-func (r *Router) admitted(q *request) {
-	r.budgetOf(q.service).Earn(r.now, r.hostCount())
+// dispatchAdmitted dispatches a request that was admitted by its workspace's quota.
+func (r *Router) dispatchAdmitted(q *request) {
+	r.retryBudget(q.service).Earn(r.now, r.hostCount())
 	r.dispatch(q)
 }
 
-// drainLeft tells whether a draining host should no longer take a request.
-func (r *Router) drainLeft(e Submit) bool {
+// drainRefuses reports whether this host is draining and no longer accepts the request.
+func (r *Router) drainRefuses(e Submit) bool {
 	if r.drain == nil {
 		return false
 	}
 	started := r.drain.Until - r.drain.Grace
-	if r.now < started+takeWhileDraining {
+	if r.now < started+drainAcceptDuration {
 		return false
 	}
-	return e.Route.Kind == routing.Streaming || r.now > r.drain.Until-lastPlain
+	return e.Route.Kind == routing.Streaming || r.now > r.drain.Until-drainPlainCutoff
 }
 
-// dispatch finds a place for a request and sends it there.
+// dispatch chooses a backend server for a request and sends it there, or refuses it.
 func (r *Router) dispatch(q *request) {
 	q.fullOwners, q.decideLocally, q.owner = nil, false, ""
-	if back, yes := r.quarantined(q); yes {
-		r.refuseQuarantined(q, back)
+	if retryAfter, yes := r.checkQuarantine(q); yes {
+		r.refuseQuarantined(q, retryAfter)
 		return
 	}
-	if r.sharing() {
+	if r.usesOwners() {
 		r.schedule(q)
 		return
 	}
@@ -127,7 +128,7 @@
 	r.send(q, b, g)
 }
 
-// send counts a request at a backend server and lets it leave.
+// send counts a request at a backend server and emits its dispatch.
 func (r *Router) send(q *request, b *backend, g DecisionBasis) {
 	q.attempt++
 	q.backend = b
@@ -135,73 +136,73 @@
 	q.ran = true
 	q.runs++
 	q.sentAt = r.now
-	r.spendCold(b)
-	b.ownLoad.counts[q.bucket()]++
-	q.queued = b.inFlight() > b.Slots || 2*b.unread(r.now) > q.PromptTok
-	q.unread = q.PromptTok
-	b.ownLoad.prefillBacklog += q.unread
-	r.loadChanged()
+	r.takeColdToken(b)
+	b.ownLoad.counts[q.priority()]++
+	q.queued = b.inFlight() > b.Slots || 2*b.prefillBacklog(r.now) > q.PromptTok
+	q.prefillTokens = q.PromptTok
+	b.ownLoad.prefillBacklog += q.prefillTokens
+	r.markLoadChanged()
 	r.reportAssigned(q)
-	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, MaxIdleConns: r.keep(b), At: r.now, Basis: g})
+	r.emit(Dispatch{ID: q.ID, Backend: b.Backend, Attempt: q.attempt, MaxIdleConns: r.idleConnLimit(b), At: r.now, Basis: g})
 }
 
 const (
-	// keepMost bounds the idle connections to one backend server; more of a host's requests are
-	// seldom there at once.
-	keepMost = 8
-	// keepShare of a backend server's connections may be idle ones of all hosts; it resets what
-	// comes beyond its bound.
-	keepShare = 0.5
+	// maxIdleConns limits the idle connections to one backend server. Few hosts have more requests there
+	// at once.
+	maxIdleConns = 8
+	// idleConnShare is the share of a backend server's connections that the idle ones of all hosts may take.
+	// A backend server resets connections beyond its limit.
+	idleConnShare = 0.5
 )
 
-// keep is how many idle connections to a backend server this host may hold.
-func (r *Router) keep(b *backend) int {
+// idleConnLimit returns the number of idle connections to a backend server that this host may keep.
+func (r *Router) idleConnLimit(b *backend) int {
 	s := r.table.Service(b.Service)
 	if s == nil || s.MaxConns == 0 {
-		return keepMost
+		return maxIdleConns
 	}
-	return max(1, min(keepMost, int(keepShare*float64(s.MaxConns))/r.hostCount()))
+	return max(1, min(maxIdleConns, int(idleConnShare*float64(s.MaxConns))/r.hostCount()))
 }
 
-// grounds are those of any decision: by which news it is made.
-func (r *Router) grounds() DecisionBasis {
-	return DecisionBasis{Version: r.version(), Era: r.updates.complete.Era}
+// basis returns what all decisions are based on: the configuration version and the store's era.
+func (r *Router) basis() DecisionBasis {
+	return DecisionBasis{Version: r.version(), Era: r.updates.completeTo.Era}
 }
 
-// refuse ends a request for which there is no place, truly: only what has not run is called so.
+// refuse ends a request for which no backend server has room. It is reported as refused only if it has not run.
 func (r *Router) refuse(q *request, g DecisionBasis) {
 	cause := Overloaded
 	if g.InFlight < 0 {
 		cause = NoBackend
 	}
-	r.close(q)
+	r.finish(q)
 	if q.ran {
 		r.emit(GiveUp{ID: q.ID, Cause: cause, DeliverFailure: true})
 		return
 	}
-	after := r.comeBack(q)
-	if at := r.backAt(q.service); cause == NoBackend && at > 0 {
+	after := r.retryAfter(q)
+	if at := r.holdOffEnd(q.service); cause == NoBackend && at > 0 {
 		after = max(after, at-r.now)
 	}
 	r.emit(Refuse{ID: q.ID, Cause: cause, RetryAfter: after, Basis: g})
 }
 
-// comeBack is when a refused caller should return: the most urgent first, spread, and within the
-// part of its time that callers are willing to wait.
-func (r *Router) comeBack(q *request) time.Duration {
-	back := backFirst + time.Duration(q.Rank*float64(backRank)) + time.Duration(r.rng.Float64()*float64(backSpread))
-	return max(0, min(back, (q.Deadline-r.now)/backThird))
+// retryAfter returns the delay after which a refused caller should retry: the shortest for the most urgent,
+// with jitter, and within the part of its remaining time that a caller is willing to wait.
+func (r *Router) retryAfter(q *request) time.Duration {
+	delay := minRetryAfter + time.Duration(q.Rank*float64(retryAfterPerRank)) + time.Duration(r.rng.Float64()*float64(retryAfterJitter))
+	return max(0, min(delay, (q.Deadline-r.now)/retryAfterDivisor))
 }
 
-// gone ends a request whose caller left; the traffic side stops the work.
-func (r *Router) gone(id uint64) {
+// callerGone ends a request whose caller disconnected. The gateway stops the call itself.
+func (r *Router) callerGone(id uint64) {
 	if q, ok := r.requests[id]; ok {
-		r.release(q, DispatchEnded{Outcome: Canceled})
-		r.close(q)
+		r.releaseSlot(q, DispatchEnded{Outcome: Canceled})
+		r.finish(q)
 	}
 }
 
-func (r *Router) ended(e DispatchEnded) {
+func (r *Router) handleDispatchEnded(e DispatchEnded) {
 	q, ok := r.requests[e.ID]
 	if !ok {
 		return
@@ -210,140 +211,140 @@
 	if b == nil {
 		return
 	}
-	r.release(q, e)
-	r.judge(b, q, e)
-	r.learnOfRequest(b, q, e)
+	r.releaseSlot(q, e)
+	r.recordOutcome(b, q, e)
+	r.recordRequestOutcome(b, q, e)
 	switch e.Outcome {
 	case Answered, Canceled:
-		r.close(q)
+		r.finish(q)
 	case TimedOut:
-		r.close(q)
+		r.finish(q)
 		r.emit(GiveUp{ID: q.ID, Cause: OutOfTime, DeliverFailure: true})
 	case NotSent, Rejected, WrongInstance:
 		q.ran = q.runs > 1
 		q.runs--
-		r.sendElsewhere(q, e)
+		r.redispatch(q, e)
 	default:
-		r.repeat(q, e)
+		r.retry(q, e)
 	}
 }
 
-// paceOf is the pace that a whole answer showed: the time between events, or to a plain answer.
-func paceOf(q *request, e DispatchEnded) time.Duration {
+// observedInterval returns the time between events of a complete answer, or the time to a plain answer.
+func observedInterval(q *request, e DispatchEnded) time.Duration {
 	if q.Route.Kind != routing.Streaming {
 		return e.First
 	}
 	return e.Interval
 }
 
-// judge learns from how a dispatch ended.
-func (r *Router) judge(b *backend, q *request, e DispatchEnded) {
+// recordOutcome updates what is known of a backend server from the end of a dispatch.
+func (r *Router) recordOutcome(b *backend, q *request, e DispatchEnded) {
 	switch e.Outcome {
 	case Answered:
 		b.succeeded(q.sentAt)
-		pace := paceOf(q, e)
-		b.learnInterval(pace)
-		svc := r.serviceNamed(b.Service)
-		svc.learnPace(pace)
-		svc.learnEvents(e.Events)
+		interval := observedInterval(q, e)
+		b.learnEventInterval(interval)
+		svc := r.serviceState(b.Service)
+		svc.learnEventInterval(interval)
+		svc.learnStreamLength(e.Events)
 	case NotSent:
 		if e.Fault {
-			b.refused(r.now)
+			b.connectFailed(r.now)
 		}
 	case WrongInstance:
-		// The address belongs to another: this backend server is gone, whatever the store says. A crashed
-		// one starts again under a new id, while its old registration stays for some heartbeats.
+		// The address now belongs to another instance, so this backend server is gone even if it is still
+		// registered: one that crashed restarts under a new ID while its old registration stays for some heartbeats.
 		b.replaced = true
 		r.emit(Note{What: "backend server replaced", Subject: b.ID, Detail: b.Service})
-		r.backendEnded(b)
+		r.recordBackendEnd(b)
 	case Broken, Failed:
 		if e.Fault {
-			r.noteFailed(b)
+			r.recordFailure(b)
 		}
 	}
 }
 
-// sendElsewhere tries the next backend server after proof that nothing ran. What reached the first
-// one counts as an arrival all the same, so that a rejected send costs retry budget.
-func (r *Router) sendElsewhere(q *request, e DispatchEnded) {
+// redispatch tries the next backend server on proof that the request did not run. A send that reached the
+// first one counts as an arrival there all the same, so a rejected send is charged to the retry budget.
+func (r *Router) redispatch(q *request, e DispatchEnded) {
 	q.tried = append(q.tried, q.backend.ID)
 	reached := e.Outcome != NotSent
 	if reached {
 		q.rejects++
 	}
-	if q.rejects >= maxRejects || q.attempt >= maxSends || r.now >= q.Deadline || (reached && !r.budgetOf(q.service).Spend(r.now, r.hostCount())) {
-		r.refuse(q, r.grounds())
+	if q.rejects >= maxRejects || q.attempt >= maxSends || r.now >= q.Deadline || (reached && !r.retryBudget(q.service).Spend(r.now, r.hostCount())) {
+		r.refuse(q, r.basis())
 		return
 	}
 	r.dispatch(q)
 }
 
-// repeat runs a request again where its kind, its route's bound and the retry budget allow it.
-func (r *Router) repeat(q *request, e DispatchEnded) {
+// retry runs a request again if its kind, its route's limit and the retry budget allow it.
+func (r *Router) retry(q *request, e DispatchEnded) {
 	q.tried = append(q.tried, q.backend.ID)
 	allowed := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
 	if e.Delivered && q.Route.Kind != routing.Streaming {
 		allowed = false
 	}
-	if allowed && (q.prepaid || r.budgetOf(q.service).Spend(r.now, r.hostCount())) {
-		q.prepaid = false
+	if allowed && (q.retryPaid || r.retryBudget(q.service).Spend(r.now, r.hostCount())) {
+		q.retryPaid = false
 		if b, _ := r.selectBackend(q); b != nil {
 			r.dispatch(q)
 			return
 		}
 	}
-	r.close(q)
+	r.finish(q)
 	r.emit(GiveUp{ID: q.ID, Cause: BackendLost, DeliverFailure: true})
 }
 
-// stalled decides whether a request whose backend server is silent moves to another one. It moves
-// only if it may run again, another has room, and the retry budget pays: a cut or a dead server shows
-// as silence, and callers leave a silent stream after a few seconds, but so does a long queue.
-func (r *Router) stalled(id uint64) {
+// handleStalled decides whether a request whose backend server sends nothing moves to another one. It moves
+// only if it may run again, another server has room and the retry budget allows it. No data may mean a cut or
+// a crashed server, and callers abandon a stalled stream after a few seconds, but it may also mean a long queue.
+func (r *Router) handleStalled(id uint64) {
 	q, ok := r.requests[id]
 	if !ok {
 		r.emit(StallDecision{ID: id})
 		return
 	}
-	move := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
-	if move {
-		held := q.tried
+	reassign := q.Route.Repeatable() && q.runs < q.Route.MaxAttempts && r.now < q.Deadline
+	if reassign {
+		triedBefore := q.tried
 		q.tried = append(q.tried[:len(q.tried):len(q.tried)], q.backend.ID)
 		b, _ := r.selectBackend(q)
-		q.tried = held
-		move = b != nil && r.budgetOf(q.service).Spend(r.now, r.hostCount())
+		q.tried = triedBefore
+		reassign = b != nil && r.retryBudget(q.service).Spend(r.now, r.hostCount())
 	}
-	q.prepaid = move
-	r.emit(StallDecision{ID: id, Reassign: move})
+	q.retryPaid = reassign
+	r.emit(StallDecision{ID: id, Reassign: reassign})
 }
 
-// promptDone takes a request's prompt out of what its backend server has still to read.
-func (q *request) promptDone() {
-	q.backend.ownLoad.prefillBacklog -= q.unread
-	q.unread = 0
+// prefillDone removes a request's prompt from its backend server's prefill backlog.
+func (q *request) prefillDone() {
+	q.backend.ownLoad.prefillBacklog -= q.prefillTokens
+	q.prefillTokens = 0
 }
 
-// release takes a request out of the counts of its backend server.
-func (r *Router) release(q *request, e DispatchEnded) {
+// releaseSlot removes a request from the load of its backend server.
+func (r *Router) releaseSlot(q *request, e DispatchEnded) {
 	if q.backend == nil {
 		return
 	}
 	r.reportEnded(q, e)
-	p := q.bucket()
+	p := q.priority()
 	own := &q.backend.ownLoad
 	own.counts[p]--
-	q.promptDone()
-	r.loadChanged()
-	r.invariants.Check(own.counts[p] >= 0 && own.prefillBacklog >= 0, "backend server %s has %d in flight, %d tokens unread", q.backend.ID, own.counts[p], own.prefillBacklog)
+	q.prefillDone()
+	r.markLoadChanged()
+	r.invariants.Check(own.counts[p] >= 0 && own.prefillBacklog >= 0, "backend server %s has %d requests in flight and a prefill backlog of %d tokens", q.backend.ID, own.counts[p], own.prefillBacklog)
 }
 
-func (r *Router) close(q *request) {
+func (r *Router) finish(q *request) {
 	r.refund(q)
 	delete(r.requests, q.ID)
 }
 
-func (r *Router) budgetOf(name string) *limit.Budget {
-	s := r.serviceNamed(name)
+func (r *Router) retryBudget(name string) *limit.Budget {
+	s := r.serviceState(name)
 	if s.budget == nil {
 		b := r.opt.Bounds
 		s.budget = limit.NewBudget(b.RetryRatio, b.RetryExtra, b.RetryWindow)
--- a/internal/router/grant.go
+++ b/internal/router/slotgrants.go
@@ -9,13 +9,13 @@
 	"fireflyshift/internal/routing"
 )
 
-// handleSlotRequest answers a question for a place at one of this host's backend servers. The place counts as taken at
-// once, under the name of the asker, until the asker reports otherwise or its next beat, which tells all that
-// it carries, says so: a lost datagram is made up for within a beat.
+// handleSlotRequest replies to another host's request for a slot at one of this host's backend servers. A
+// granted slot counts at once as the other host's load, until that host reports otherwise or its next
+// heartbeat replaces its whole load. The effect of a lost datagram lasts one heartbeat at most.
 func (r *Router) handleSlotRequest(from string, a *gossippb.Ask) {
 	m, ok := r.members.byHost[from]
 	if !ok {
-		return // not heard yet; it decides alone
+		return // no heartbeat yet; it decides locally
 	}
 	q := r.requestFromAsk(a)
 	c := r.selectInScope(q, scopeOwned)
@@ -23,13 +23,13 @@
 		r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: &gossippb.Offer{Number: a.Number, Full: r.ownedLoads(a.Service)}}})
 		return
 	}
-	o := &gossippb.Offer{Number: a.Number, Place: c.backend.carried().toProto(c.backend.hash), Limit: uint32(max(0, c.grounds.Limit)),
-		WaitUs: uint32(max(0, c.grounds.Wait).Microseconds())}
-	r.adjustLoad(m, c.backend.hash, q.bucket(), 1, q.PromptTok)
+	o := &gossippb.Offer{Number: a.Number, Place: c.backend.totalLoad().toProto(c.backend.hash), Limit: uint32(max(0, c.basis.Limit)),
+		WaitUs: uint32(max(0, c.basis.Wait).Microseconds())}
+	r.adjustLoad(m, c.backend.hash, q.priority(), 1, q.PromptTok)
 	r.emit(Send{To: []string{from}, Packet: &gossippb.Packet{Offer: o}})
 }
 
-// requestFromAsk is the request that another host asks for, as far as a choice needs it.
+// requestFromAsk builds the parts of another host's request that a selector needs.
 func (r *Router) requestFromAsk(a *gossippb.Ask) *request {
 	kind := routing.Idempotent
 	if a.Streaming {
@@ -48,7 +48,7 @@
 	return q
 }
 
-// askRank is the rank that a question names; one that is no number counts as the least urgent.
+// askRank returns the rank in a slot request, clamped to the valid range. NaN counts as the least urgent.
 func askRank(a *gossippb.Ask) float64 {
 	rank := float64(a.Rank)
 	if math.IsNaN(rank) {
@@ -61,21 +61,21 @@
 	var out []*gossippb.Load
 	for _, b := range r.zoneBackendsOf(service) {
 		if r.owns(b) {
-			out = append(out, b.carried().toProto(b.hash))
+			out = append(out, b.totalLoad().toProto(b.hash))
 		}
 	}
 	return out
 }
 
-// adjustLoad changes what another host is believed to adjustLoad at a backend server.
-func (r *Router) adjustLoad(m *member, hash uint32, priority, requests, unread int) {
+// adjustLoad changes the load of another host at a backend server.
+func (r *Router) adjustLoad(m *member, hash uint32, priority, requests, promptTokens int) {
 	if m.loads == nil {
 		m.loads = loads{}
 	}
 	was := m.loads[hash]
 	now := was
 	now.counts[priority] = max(0, was.counts[priority]+requests)
-	now.prefillBacklog = min(max(0, was.prefillBacklog+unread), maxPrefillBacklog)
+	now.prefillBacklog = min(max(0, was.prefillBacklog+promptTokens), maxPrefillBacklog)
 	if now == (load{}) {
 		delete(m.loads, hash)
 	} else {
@@ -90,8 +90,8 @@
 	b.othersReportedAt = r.now
 }
 
-// handleReport takes another host's word of one request at a backend server of this host's. An owner hears of
-// all requests there and knows its speed and faults first.
+// handleReport applies another host's report on one request at a backend server. Owners get the reports of
+// all hosts and so know a backend server's speed and failures first.
 func (r *Router) handleReport(from string, rep *gossippb.Report) {
 	m, known := r.members.byHost[from]
 	if known && (rep.Requests != 0 || rep.Unread != 0) {
@@ -107,10 +107,10 @@
 	case gossippb.Outcome_OUTCOME_SOUND:
 		b.succeeded(r.now - time.Duration(rep.AgeMs)*time.Millisecond)
 	case gossippb.Outcome_OUTCOME_FAULTY:
-		r.noteFailed(b)
+		r.recordFailure(b)
 	case gossippb.Outcome_OUTCOME_REPLACED:
 		b.replaced = true
-		r.backendEnded(b)
+		r.recordBackendEnd(b)
 	case gossippb.Outcome_OUTCOME_UNREACHABLE:
 		if known && !slices.Contains(m.deadBackends, rep.Backend) {
 			r.applyDead(m, append(slices.Clone(m.deadBackends), rep.Backend))
@@ -119,25 +119,25 @@
 }
 
 func (r *Router) learnFromReport(b *backend, rep *gossippb.Report) {
-	svc := r.serviceNamed(b.Service)
-	if pace := min(time.Duration(rep.IntervalUs)*time.Microsecond, maxEventInterval); pace > 0 {
-		b.learnInterval(pace)
-		svc.learnPace(pace)
+	svc := r.serviceState(b.Service)
+	if interval := min(time.Duration(rep.IntervalUs)*time.Microsecond, maxEventInterval); interval > 0 {
+		b.learnEventInterval(interval)
+		svc.learnEventInterval(interval)
 	}
-	if read := time.Duration(rep.ReadNs); read > 0 && read <= mostRead {
-		b.learnRead(read)
-		svc.learnRead(read)
+	if perToken := time.Duration(rep.ReadNs); perToken > 0 && perToken <= maxPrefillPerToken {
+		b.learnPrefill(perToken)
+		svc.learnPrefill(perToken)
 	}
-	svc.learnEvents(int(min(rep.Events, maxEvents)))
+	svc.learnStreamLength(int(min(rep.Events, maxEvents)))
 }
 
 const (
-	// maxEventInterval and mostEvents bound what one word of another host can teach.
+	// maxEventInterval and maxEvents limit the values accepted from one report.
 	maxEventInterval = 10 * time.Second
 	maxEvents        = 1 << 16
 )
 
-// reportTarget is the host that counts this host's requests at a backend server; empty where none does.
+// reportTarget returns the host that counts this host's requests at a backend server, or "".
 func (r *Router) reportTarget(q *request) string {
 	to := q.owner
 	if to == "" {
@@ -149,34 +149,35 @@
 	return to
 }
 
-// newReport is a report of a request by its backend server: requests and prompt tokens that came there, or
-// with a minus ended.
-func (q *request) newReport(requests, unread int) *gossippb.Report {
-	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.bucket()), Requests: int32(requests), Unread: int32(unread)}
+// newReport returns a report of requests and prompt tokens added to the request's backend server, or
+// removed if negative.
+func (q *request) newReport(requests, promptTokens int) *gossippb.Report {
+	return &gossippb.Report{Backend: q.backend.hash, Priority: uint32(q.priority()), Requests: int32(requests), Unread: int32(promptTokens)}
 }
 
-// reportAssigned tells the owner of a request that was placed without asking it.
+// reportAssigned reports a request that was sent without a slot request to the owner of its backend server, which does
+// not count it yet.
 func (r *Router) reportAssigned(q *request) {
 	if to := r.reportTarget(q); to != "" && q.owner == "" {
-		r.sendReport(to, q.newReport(1, q.unread))
+		r.sendReport(to, q.newReport(1, q.prefillTokens))
 	}
 }
 
-// reportEnded tells the owner that a request ended, and what it showed of the backend server.
+// reportEnded reports to the owner that a request ended, with the outcome and speed observed.
 func (r *Router) reportEnded(q *request, e DispatchEnded) {
 	to := r.reportTarget(q)
 	if to == "" {
 		return
 	}
-	rep := q.newReport(-1, -q.unread)
+	rep := q.newReport(-1, -q.prefillTokens)
 	rep.Outcome, rep.AgeMs = reportOutcome(e), uint32((r.now - q.sentAt).Milliseconds())
 	if e.Outcome == Answered {
-		rep.IntervalUs, rep.Events = uint32(paceOf(q, e).Microseconds()), uint32(e.Events)
+		rep.IntervalUs, rep.Events = uint32(observedInterval(q, e).Microseconds()), uint32(e.Events)
 	}
 	r.sendReport(to, rep)
 }
 
-// reportOutcome is what the end of a dispatch says of its backend server.
+// reportOutcome maps the end of a dispatch to what it shows of the backend server.
 func reportOutcome(e DispatchEnded) gossippb.Outcome {
 	switch {
 	case e.Outcome == Answered:
--- a/internal/router/speed.go
+++ b/internal/router/speed.go
@@ -7,111 +7,112 @@
 )
 
 const (
-	// readShrink and readGrow are the weights of an observation of an engine's reading speed. Others'
-	// prompts make a stream begin later, never sooner: low values are near the truth.
-	readShrink = 0.5
-	readGrow   = 0.05
-	// leastPrompt is the shortest prompt, in tokens, whose first event tells the reading speed: below it
-	// the rest of a step and the way there weigh more.
-	leastPrompt = 300
-	// mostRead bounds what another host's word of a reading speed can do; engines here read a token in
-	// tens of microseconds.
-	mostRead = 10 * time.Millisecond
-	// speedNews is by how much a speed must change to be told again.
-	speedNews = 0.3
+	// prefillDecreaseWeight and prefillIncreaseWeight are the weights of a new prefill time sample below and above the
+	// estimate. Other prompts can only delay a stream's first event, so low samples are closer to the true value.
+	prefillDecreaseWeight = 0.5
+	prefillIncreaseWeight = 0.05
+	// minPromptTokens is the shortest prompt whose time to first event is used as a prefill sample. With shorter
+	// ones, network latency and the rest of a decoding step dominate.
+	minPromptTokens = 300
+	// maxPrefillPerToken limits the prefill time per token accepted from other hosts. Engines need tens of microseconds.
+	maxPrefillPerToken = 10 * time.Millisecond
+	// speedChangeThreshold is the relative change of a speed that is reported to other hosts.
+	speedChangeThreshold = 0.3
 )
 
-// speed is what is observed of an engine.
-type speed struct{ interval, read time.Duration }
+// speed is the observed speed of an engine: the interval between events and the prefill time per prompt token.
+type speed struct{ interval, prefillPerToken time.Duration }
 
 func (b *backend) speed() speed { return speed{b.interval, b.prefillPerToken} }
 
-// differs tells whether a speed is worth telling to those who know another.
-func (s speed) differs(told speed) bool {
-	off := func(a, b time.Duration) bool {
+// differsFrom reports whether a speed differs enough from the one last reported to be reported again.
+func (s speed) differsFrom(reported speed) bool {
+	changed := func(a, b time.Duration) bool {
 		d := float64(a - b)
-		return a > 0 && (d > speedNews*float64(b) || -d > speedNews*float64(b))
+		return a > 0 && (d > speedChangeThreshold*float64(b) || -d > speedChangeThreshold*float64(b))
 	}
-	return off(s.interval, told.interval) || off(s.read, told.read)
+	return changed(s.interval, reported.interval) || changed(s.prefillPerToken, reported.prefillPerToken)
 }
 
-// began takes the first event of a stream: its prompt is read.
-func (r *Router) began(e StreamStarted) {
+// handleStreamStarted processes the first event of a stream: its prompt has been prefilled.
+func (r *Router) handleStreamStarted(e StreamStarted) {
 	q, ok := r.requests[e.ID]
-	if !ok || q.backend == nil || q.unread == 0 {
+	if !ok || q.backend == nil || q.prefillTokens == 0 {
 		return
 	}
-	done := q.unread
-	q.promptDone()
-	r.loadChanged()
-	var read time.Duration
-	if q.PromptTok >= leastPrompt && !q.queued && e.First > 0 {
-		read = e.First / time.Duration(q.PromptTok)
-		q.backend.learnRead(read)
-		r.serviceNamed(q.service).learnRead(read)
+	prefilled := q.prefillTokens
+	q.prefillDone()
+	r.markLoadChanged()
+	var perToken time.Duration
+	if q.PromptTok >= minPromptTokens && !q.queued && e.First > 0 {
+		perToken = e.First / time.Duration(q.PromptTok)
+		q.backend.learnPrefill(perToken)
+		r.serviceState(q.service).learnPrefill(perToken)
 	}
 	if to := r.reportTarget(q); to != "" {
-		rep := q.newReport(0, -done)
-		rep.ReadNs = uint32(read.Nanoseconds())
+		rep := q.newReport(0, -prefilled)
+		rep.ReadNs = uint32(perToken.Nanoseconds())
 		r.sendReport(to, rep)
 	}
 }
 
-// paced takes the speed of a stream's first events, so that a slow engine is known before the first
-// stream there has ended.
-func (r *Router) paced(e StreamProgress) {
+// handleStreamProgress applies the interval between a stream's first events, so that a slow engine is detected before its
+// first stream ends.
+func (r *Router) handleStreamProgress(e StreamProgress) {
 	q, ok := r.requests[e.ID]
 	if !ok || q.backend == nil {
 		return
 	}
 	if q.backend.samples == 0 {
-		r.serviceNamed(q.service).learnPace(e.Interval)
+		r.serviceState(q.service).learnEventInterval(e.Interval)
 	}
-	q.backend.learnInterval(e.Interval)
+	q.backend.learnEventInterval(e.Interval)
 }
 
-func (b *backend) learnRead(read time.Duration) { b.prefillPerToken = learned(b.prefillPerToken, read) }
+func (b *backend) learnPrefill(perToken time.Duration) {
+	b.prefillPerToken = smoothPrefill(b.prefillPerToken, perToken)
+}
 
-func learned(known, seen time.Duration) time.Duration {
+func smoothPrefill(known, seen time.Duration) time.Duration {
 	switch {
 	case known == 0:
 		return seen
 	case seen < known:
-		return known - time.Duration(readShrink*float64(known-seen))
+		return known - time.Duration(prefillDecreaseWeight*float64(known-seen))
 	default:
-		return known + time.Duration(readGrow*float64(seen-known))
+		return known + time.Duration(prefillIncreaseWeight*float64(seen-known))
 	}
 }
 
-// newSpeeds are the speeds that others have not been told.
-func (r *Router) newSpeeds() []*gossippb.Speed {
+// changedSpeeds returns the speeds that differ from those last reported to other hosts.
+func (r *Router) changedSpeeds() []*gossippb.Speed {
 	var out []*gossippb.Speed
 	for _, b := range r.allBackends() {
-		if b.removed || b.samples == 0 || !b.speed().differs(b.reportedSpeed) {
+		if b.removed || b.samples == 0 || !b.speed().differsFrom(b.reportedSpeed) {
 			continue
 		}
 		b.reportedSpeed = b.speed()
-		out = append(out, b.speedMessage())
+		out = append(out, b.speedToProto())
 	}
 	return out
 }
 
-func (b *backend) speedMessage() *gossippb.Speed {
+func (b *backend) speedToProto() *gossippb.Speed {
 	return &gossippb.Speed{Backend: b.hash, IntervalUs: uint32(b.interval.Microseconds()), ReadNs: uint32(b.prefillPerToken.Nanoseconds())}
 }
 
-// takeSpeed takes the word of a backend server's owner, which hears of all requests there.
-func (b *backend) takeSpeed(s *gossippb.Speed) {
-	if pace := time.Duration(s.IntervalUs) * time.Microsecond; pace > 0 && pace <= maxEventInterval {
-		b.interval = pace
+// applyOwnerSpeed applies the speed reported by a backend server's owner, which gets reports of all requests there.
+func (b *backend) applyOwnerSpeed(s *gossippb.Speed) {
+	if interval := time.Duration(s.IntervalUs) * time.Microsecond; interval > 0 && interval <= maxEventInterval {
+		b.interval = interval
 	}
-	if read := time.Duration(s.ReadNs); read > 0 && read <= mostRead {
-		b.prefillPerToken = read
+	if perToken := time.Duration(s.ReadNs); perToken > 0 && perToken <= maxPrefillPerToken {
+		b.prefillPerToken = perToken
 	}
 }
 
-// takeSpeeds takes others' word of engines that this host has not observed itself.
-func (r *Router) takeSpeeds(list []*gossippb.Speed) {
+// applySpeeds applies other hosts' speeds of engines that this host has not observed itself.
+func (r *Router) applySpeeds(list []*gossippb.Speed) {
 	for _, s := range list {
 		b, ok := r.byHash[s.Backend]
 		if !ok {
@@ -120,18 +121,18 @@
 		if b.samples == 0 {
 			b.interval = time.Duration(s.IntervalUs) * time.Microsecond
 		}
-		if read := time.Duration(s.ReadNs); b.prefillPerToken == 0 && read <= mostRead {
-			b.prefillPerToken = read
+		if perToken := time.Duration(s.ReadNs); b.prefillPerToken == 0 && perToken <= maxPrefillPerToken {
+			b.prefillPerToken = perToken
 		}
 	}
 }
 
-// unread is how many prompt tokens an engine is believed to have still to read. What others told is
-// worked off since.
-func (b *backend) unread(now time.Duration) int {
+// prefillBacklog estimates the prompt tokens an engine has yet to process. The part reported by other hosts shrinks
+// with the time since the report.
+func (b *backend) prefillBacklog(now time.Duration) int {
 	others, at := b.othersLoad.prefillBacklog, b.othersReportedAt
 	if b.useOwnerReport {
-		others, at = b.ownerReport.prefillBacklog, b.ownerReportedAt
+		others, at = b.ownerLoad.prefillBacklog, b.ownerReportedAt
 	}
 	if others > 0 && b.prefillPerToken > 0 {
 		others = max(0, others-int((now-at)/b.prefillPerToken))
--- a/internal/router/news_test.go
+++ b/internal/router/updates_test.go
@@ -17,54 +17,54 @@
 		Backend: routing.Backend{ID: id, Addr: "a", Zone: "z0", Service: "m", Slots: 5, Model: true}}
 }
 
-// A hundred hosts hear at once that a peer knows a newer configuration, and ask for it. With 1,000
-// backend servers each answer was a quarter of a megabyte, small hosts' links were full for seconds,
-// and requests went by the old configuration long after it should have been in force everywhere.
+// A hundred hosts learn at once that a peer has a newer configuration, and pull it. With 1,000
+// backend servers each full answer was a quarter of a megabyte; the links of small hosts were saturated for seconds,
+// and requests followed the old configuration long after the new one should have been in force everywhere.
 func TestPullAsksOnlyForWhatIsMissing(t *testing.T) {
-	b := newBench(t, 1000) // complete as of revision 50
-	peer := newBench(t, 1000)
+	b := newFixture(t, 1000) // complete as of revision 50
+	peer := newFixture(t, 1000)
 	peer.post(Update{FromStore: true, After: rev(50), AsOf: rev(90), Revision: rev(80), Changes: routing.Changes{
 		Config: &routing.Config{Version: 9}, Backends: []routing.BackendChange{changeOf("new", 70, false), changeOf("e3", 80, true)}}})
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 9, Revision: 80, Digest: peer.r.digest()}
 	}
 	b.post(HeartbeatReceived{beat(1)})
-	b.now += pullAfter + time.Millisecond
-	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
-	require.Len(t, asked, 1)
-	require.Equal(t, Since{Revision: rev(50), Version: 1}, asked[0].Since)
+	b.now += pullDelay + time.Millisecond
+	pulls := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
+	require.Len(t, pulls, 1)
+	require.Equal(t, Since{Revision: rev(50), Version: 1}, pulls[0].Since)
 
-	n := peer.r.Snapshot(asked[0].Since)
+	n := peer.r.Snapshot(pulls[0].Since)
 	require.Len(t, n.Backends, 2)
 	b.post(n)
 	require.Equal(t, peer.r.digest(), b.r.digest())
-	require.Equal(t, rev(90), b.r.updates.complete)
+	require.Equal(t, rev(90), b.r.updates.completeTo)
 	require.Nil(t, b.r.Snapshot(Since{Revision: rev(90), Version: 9}).Config)
 }
 
-// A host hears a pushed change but misses the one before it. It must not take itself for complete up to
-// the later one, or it would never ask for what it missed.
+// A host gets a pushed change but missed the one before it. It must not consider itself complete up to
+// the later one, or it would never pull what it missed.
 func TestMissedChangeIsAskedFor(t *testing.T) {
-	b := newBench(t, 1)
+	b := newFixture(t, 1)
 	b.post(Update{After: rev(60), AsOf: rev(70), Revision: rev(70), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("later", 70, false)}}})
-	require.Equal(t, rev(50), b.r.updates.complete)
+	require.Equal(t, rev(50), b.r.updates.completeTo)
 }
 
-// A backend server was removed while this host did not run. A peer that has not heard of it still names
-// it: the host must not send callers to an address that nobody has, or that another service has.
-func TestOldRegistrationFromAPeerIsNotTaken(t *testing.T) {
-	b := newBench(t, 1)
+// A backend server was removed while this host was down, and a peer that does not know this still reports
+// it. The host must not send requests to an address that is unused, or that another service has now.
+func TestOldRegistrationFromAPeerIsNotApplied(t *testing.T) {
+	b := newFixture(t, 1)
 	b.post(Update{Revision: rev(40), Changes: routing.Changes{Backends: []routing.BackendChange{changeOf("ghost", 40, false)}}})
 	require.Nil(t, b.r.backends["ghost"])
 }
 
-// A zone's sum to another names thousands of backend servers where there are many zones; relayed to all
-// hosts four times a second it took most of their links. So a zone tells of its own backend servers only,
-// with what hosts of other zones carry there: left out, these looked idle to the others, which all sent
-// there. The hearer takes its own requests off, or it would count them twice.
-func TestEachZoneTellsOfItsOwnServers(t *testing.T) {
-	withServers := func() *bench {
-		b := newBench(t, 0)
+// When a zone's summary contained the backend servers of all zones, thousands of them relayed to all hosts four times a second
+// took most of their bandwidth. So a zone reports only its own backend servers, including the load
+// from other zones: without that they looked idle to the others, which all sent there.
+// The receiver subtracts its own requests, or it would count them twice.
+func TestEachZoneReportsOnlyItsOwnServers(t *testing.T) {
+	withServers := func() *fixture {
+		b := newFixture(t, 0)
 		var list []routing.BackendChange
 		for i, zone := range []string{"z0", "z1", "z2"} {
 			ch := changeOf(fmt.Sprintf("s%d", i), uint64(60+i), false)
@@ -90,20 +90,20 @@
 	require.NotContains(t, loads, b.r.backends["s1"].hash)
 	require.NotContains(t, loads, b.r.backends["s2"].hash)
 
-	hearer := withServers()
-	hearer.r.opt.Zone = "z1"
-	hearer.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seq: 1}})
+	receiver := withServers()
+	receiver.r.opt.Zone = "z1"
+	receiver.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.1", Zone: "z0", Incarnation: 1, Seq: 1}})
 	sum.Speaker = "10.0.0.9"
-	hearer.r.opt.Host = "10.0.1.1"
-	hearer.post(RelayReceived{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
-	require.Equal(t, 5, hearer.r.backends["s0"].inFlight(), "its own one is in the sum already")
+	receiver.r.opt.Host = "10.0.1.1"
+	receiver.post(RelayReceived{"10.0.1.2", &gossippb.Relay{Zones: []*gossippb.ZoneSum{sum}}})
+	require.Equal(t, 5, receiver.r.backends["s0"].inFlight(), "its own request is included in the summary")
 }
 
-// The hosts of a large fleet start together. The first readers do not yet know how many there are and
-// open long watches; their zone mates, who rely on them, took them for cut off every few seconds, and
+// The hosts of a large fleet start together. The first readers do not know yet how many there are and
+// open long watches. Their zone peers, which rely on them, considered them cut off from the store every few seconds, and
 // all read the store at once.
 func TestReaderWatchesShorterOnceOthersRelyOnIt(t *testing.T) {
-	b := newBench(t, 0)
+	b := newFixture(t, 0)
 	reads := func() []ReadStore { return effectsOf[ReadStore](b.post(Tick{})) }
 	require.Equal(t, []ReadStore{{On: true}}, reads())
 	for i := 0; i <= maxFullMesh; i++ {
@@ -114,11 +114,11 @@
 }
 
 // Seventeen engines drain at once while others are replaced one after the other. The push of the seventeen
-// was too large, and went unsent; a later push of one change reached the other hosts, which took themselves
-// for up to date by its revision and asked for the rest three seconds later: callers were sent to engines
-// that had said so long that they leave.
+// was too large and was not sent. A later push of one change reached the other hosts, which considered themselves
+// up to date by its revision and pulled the rest only three seconds later: meanwhile requests went to engines
+// that were known to be draining.
 func TestManyChangesAtOnceReachTheZone(t *testing.T) {
-	reader := newBench(t, 0)
+	reader := newFixture(t, 0)
 	for i := 0; i <= maxFullMesh; i++ {
 		reader.r.learnHost(fmt.Sprintf("10.0.3.%d", i), "z3")
 	}
@@ -129,43 +129,43 @@
 		ch.Draining = true
 		list = append(list, ch)
 	}
-	mate := newBench(t, 17)
-	told := 0
+	peer := newFixture(t, 17)
+	pushed := 0
 	for _, e := range reader.post(Update{FromStore: true, After: rev(50), AsOf: rev(80), Revision: rev(76), Changes: routing.Changes{Backends: list}}) {
 		if s, ok := e.(SendHeartbeat); ok && len(s.Heartbeat.Changes) > 0 {
-			mate.r.takeChanges(s.Heartbeat.Changes)
-			told++
+			peer.r.applyPushedChanges(s.Heartbeat.Changes)
+			pushed++
 		}
 	}
-	require.Equal(t, 3, told)
-	for _, b := range mate.r.allBackends() {
+	require.Equal(t, 3, pushed)
+	for _, b := range peer.r.allBackends() {
 		require.True(t, b.Draining, b.ID)
 	}
 }
 
-// The same where datagrams are lost: a host hears a later change and not those before it, and a peer that
-// knows them. It asks within a quarter of a second, for all that it may have missed.
-func TestGapBeforeAHeardChangeIsAskedFor(t *testing.T) {
-	b := newBench(t, 1) // complete as of revision 50
+// The same with lost datagrams: a host gets a later change but not those before it, and a heartbeat of a peer that
+// has them. It pulls all that it may have missed within a quarter of a second.
+func TestGapBeforeAReceivedChangeIsRequested(t *testing.T) {
+	b := newFixture(t, 1) // complete as of revision 50
 	late, err := json.Marshal([]routing.BackendChange{changeOf("later", 90, false)})
 	require.NoError(t, err)
-	b.r.takeChanges(late)
+	b.r.applyPushedChanges(late)
 	beat := func(seq uint64) *gossippb.Beat {
 		return &gossippb.Beat{Host: "10.0.0.9", Zone: "z0", Incarnation: 1, Seq: seq, ConfigVersion: 1, Revision: 90, Digest: 7}
 	}
 	b.post(HeartbeatReceived{beat(1)})
-	b.now += pullAfter + time.Millisecond
+	b.now += pullDelay + time.Millisecond
 	asked := effectsOf[Pull](b.post(HeartbeatReceived{beat(2)}))
 	require.Len(t, asked, 1)
 	require.Equal(t, rev(50), asked[0].Revision)
 }
 
-// rev is a revision of the store's first era.
+// rev returns a revision of the store's first era.
 func rev(number uint64) routing.Revision { return routing.Revision{Number: number} }
 
-// Guards against changes of backend servers that are lost as a later beat overtakes the one that brings them.
-func TestChangesInAnOvertakenBeatAreTaken(t *testing.T) {
-	b := newBench(t, 0)
+// Guards against changes of backend servers that are lost because a later heartbeat overtakes the one that carries them.
+func TestChangesInAnOvertakenHeartbeatAreApplied(t *testing.T) {
+	b := newFixture(t, 0)
 	data, err := json.Marshal([]routing.BackendChange{changeOf("late", 60, false)})
 	require.NoError(t, err)
 	b.post(HeartbeatReceived{&gossippb.Beat{Host: "10.0.0.2", Zone: "z0", Incarnation: 1, Seq: 2}})
--- a/internal/sched/group.go
+++ b/internal/sched/group.go
@@ -60,7 +60,7 @@
 // SetService applies a changed service record.
 func (g *Group) SetService(s record.Service) { g.service = s }
 
-// SetTiers applies the tiers in force and computes the slots that they reserve.
+// SetTiers applies the active tiers and computes the slots that they reserve.
 func (g *Group) SetTiers(tiers []*record.Tier) {
 	g.reservePercent = [NumPriorities]int{}
 	for _, t := range tiers {
@@ -70,7 +70,7 @@
 	}
 }
 
-// SetBackends applies the backend servers in force. A removed server keeps its runs until they end.
+// SetBackends applies the active backend server records. A removed server keeps its runs until they end.
 func (g *Group) SetBackends(now time.Duration, specs []record.Backend) []Decision {
 	present := map[string]bool{}
 	for _, s := range specs {
@@ -99,9 +99,9 @@
 	}
 	if b.spec.Addr != s.Addr {
 		// A server at another address is another machine, to which the learned values do not apply.
-		fresh := newBackend(s)
-		fresh.runs = b.runs // they end at the old address but use slots under this name until then
-		g.backends[s.Name] = fresh
+		replacement := newBackend(s)
+		replacement.runs = b.runs // they end at the old address but use slots under this name until then
+		g.backends[s.Name] = replacement
 		return
 	}
 	if b.spec.Slots != s.Slots {
@@ -167,15 +167,15 @@
 
 func (g *Group) newQueuedRequest(now time.Duration, r Request) *queuedRequest {
 	w := &queuedRequest{Request: r, arrived: now}
-	least := -1.0
+	minEstimate := -1.0
 	for _, name := range g.sortedNames {
 		b := g.backends[name]
 		w.cost += b.estimate(&r, g.expectedOutputRatio()) / float64(len(g.sortedNames))
-		if shown := b.measuredEstimate(&r, g.outputRatio); least < 0 || shown < least {
-			least = shown
+		if measured := b.measuredEstimate(&r, g.outputRatio); minEstimate < 0 || measured < minEstimate {
+			minEstimate = measured
 		}
 	}
-	w.latestStart = r.Deadline - fromMS(max(least, 0)*finishMargin)
+	w.latestStart = r.Deadline - fromMS(max(minEstimate, 0)*finishMargin)
 	return w
 }
 
@@ -233,14 +233,14 @@
 // UpdateHoldings applies the full list of what one entry host runs here: it confirms known runs, adds
 // unknown ones and frees those not listed.
 func (g *Group) UpdateHoldings(now time.Duration, host string, held []Held) []Decision {
-	named := map[Key]bool{}
+	listed := map[Key]bool{}
 	for _, h := range held {
-		named[h.Key] = true
+		listed[h.Key] = true
 		g.adopt(now, h)
 	}
 	for _, r := range g.runsOf(host) {
 		// A grant may still be on its way to the entry host, so keep unlisted runs for the lease.
-		if !named[r.Key] && now-r.grantedAt > g.opt.Lease {
+		if !listed[r.Key] && now-r.grantedAt > g.opt.Lease {
 			g.free(r)
 		}
 	}
--- a/internal/sched/types.go
+++ b/internal/sched/types.go
@@ -117,10 +117,10 @@
 type Options struct {
 	// Lease is how long after a grant the dispatch may start.
 	Lease time.Duration
-	// DisplaceAfter is how long a request waits for a slot before runs of a lower priority are preempted
+	// PreemptAfter is how long a request waits for a slot before runs of a lower priority are preempted
 	// for it.
-	DisplaceAfter time.Duration
-	// PreemptTimeout is when an unanswered preemption no longer counts as a slot about to become free.
+	PreemptAfter time.Duration
+	// PreemptTimeout is how long an unanswered preemption counts as a slot about to become free.
 	PreemptTimeout time.Duration
 	// QueuePerSlot is the queue bound per slot of the group.
 	QueuePerSlot int
@@ -128,7 +128,7 @@
 	MinQueue int
 	// OrphanGrace is how long the runs of a lost entry host keep their slots: their streams may still run.
 	OrphanGrace time.Duration
-	// UnconfirmedTimeout is when a run is freed that its entry host has not confirmed.
+	// UnconfirmedTimeout is how long a run keeps its slot without confirmation by its entry host.
 	UnconfirmedTimeout time.Duration
 	// SettleTimeout is how long a new scheduler waits for holdings before it grants.
 	SettleTimeout time.Duration
@@ -138,7 +138,7 @@
 func DefaultOptions() Options {
 	return Options{
 		Lease:              2 * time.Second,
-		DisplaceAfter:      30 * time.Millisecond,
+		PreemptAfter:       30 * time.Millisecond,
 		PreemptTimeout:     250 * time.Millisecond,
 		QueuePerSlot:       8,
 		MinQueue:           64,
--- a/test/deadly_test.go
+++ b/test/deadly_test.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// heardWithin is how long after the third end all hosts have to know.
-	heardWithin = 3 * time.Second
-	// endsAllowed are the engines that one request may end before it counts as the cause, and sendsAllowed how often it may
-	// be sent after that.
-	endsAllowed  = 3
-	sendsAllowed = 3
+	// propagationTime is how long after the third crash all hosts must have learned of it.
+	propagationTime = 3 * time.Second
+	// crashesAllowed is how many engines one request may crash before it counts as the cause; furtherCrashesAllowed is how
+	// often it may still be sent to an engine after that.
+	crashesAllowed        = 3
+	furtherCrashesAllowed = 3
 )
 
-func (b *bed) crashes() int {
+func (b *testbed) crashes() int {
 	n := 0
 	for _, e := range b.engines {
 		n += e.Stats().Crashes
@@ -28,30 +28,30 @@
 	return n
 }
 
-// A caller's prompt ends each engine that runs it, and is sent again as a new request, to hosts of two zones in turn. Each time
-// the streams beside it are lost. Nothing remembered what the last one did. After three ends it must be known
-// everywhere; others of the same workspace are served on.
+// Guards against a prompt that crashes one engine after the other: its caller sends it again as a new request to hosts of two
+// zones in turn, and each crash loses the streams in flight beside it. After three crashes all hosts must hold the prompt back,
+// and still serve other requests of the same workspace.
 func TestDeadlyPromptIsKeptFromEngines(t *testing.T) {
-	b := newBed(t, "a1", "a2", "b1", "b2")
+	b := newTestbed(t, "a1", "a2", "b1", "b2")
 	for name, zone := range map[string]string{"e1": "zone-a", "e2": "zone-a", "e3": "zone-b", "e4": "zone-b"} {
-		b.addEngine(name, zone, fastEngine()).SetMode(engine.Mode{Deadly: "deadly"})
+		b.addEngine(name, zone, fastEngine()).SetMode(engine.Mode{CrashText: "deadly"})
 	}
 	b.start()
-	ask := func(i int, prompt string) fleet.Answer {
-		return b.caller().Chat(ctx(t), b.callers(b.order[i%len(b.order)]), "notes", prompt, 30, true)
+	call := func(i int, prompt string) fleet.Response {
+		return b.newCaller().Chat(testCtx(t), b.addr(b.hostIDs[i%len(b.hostIDs)]), "notes", prompt, 30, true)
 	}
-	for i := 0; b.crashes() < endsAllowed; i++ {
+	for i := 0; b.crashes() < crashesAllowed; i++ {
 		require.Less(t, i, 20)
-		ask(i, "a deadly prompt")
+		call(i, "a deadly prompt")
 	}
-	time.Sleep(heardWithin)
+	time.Sleep(propagationTime)
 	before := b.crashes()
 	for i := range 16 {
-		ask(i, "a deadly prompt")
+		call(i, "a deadly prompt")
 	}
-	require.LessOrEqual(t, b.crashes()-before, sendsAllowed, "of 16 that came after all hosts had to know")
+	require.LessOrEqual(t, b.crashes()-before, furtherCrashesAllowed, "engine crashes by 16 requests that came after all hosts had to know the prompt")
 	for i := range 8 {
-		a := ask(i, fmt.Sprint("another prompt ", i))
+		a := call(i, fmt.Sprint("another prompt ", i))
 		require.True(t, a.OK(), "%+v", a)
 	}
 }
