--- a/test/dispatch_test.go
+++ b/test/dispatch_test.go
@@ -13,158 +13,156 @@
 	"fireflyshift/internal/standin/plain"
 )
 
-// post sends a non-idempotent operation with a ticket.
-func post(t *testing.T, host, ticket, operation string) fleet.Answer {
-	c := tiered("top").With("Fireflyshift-Idempotent", "no").With("Fireflyshift-Ticket", ticket).With("X-Operation", operation)
-	return c.Call(ctx(t), "POST", host, "git", "grade-thread", []byte("well done"))
+// postWithTicket sends a non-idempotent operation with a ticket.
+func postWithTicket(t *testing.T, host, ticket, operation string) fleet.Response {
+	c := tierCaller("top").WithHeader("Fireflyshift-Idempotent", "no").WithHeader("Fireflyshift-Ticket", ticket).WithHeader("X-Operation", operation)
+	return c.Call(testCtx(t), "POST", host, "git", "grade-thread", []byte("well done"))
 }
 
-// The host that took a review note dies while the note is being posted. The pupil's client asks
-// again through the balancer, at another host. A second note would confuse the grade thread; the
-// ticket's home is gone, so the second try is told that the work may have run.
+// Guards against a non-idempotent request that runs twice: the host that issued its ticket and runs it dies, and the caller
+// retries at another host. The ticket's home host is gone, so the retry must be refused as "may have run".
 func TestHostDiesWithNonIdempotentWorkInFlight(t *testing.T) {
-	b := newBed(t, "a1", "a2")
-	s := b.addPlain("git-1", "zone-a", 500*time.Millisecond)
+	b := newTestbed(t, "a1", "a2")
+	s := b.addPlainService("git-1", "zone-a", 500*time.Millisecond)
 	b.start()
-	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
-	first := make(chan fleet.Answer, 1)
-	go func() { first <- post(t, b.callers("a1"), ticket, "note") }()
-	require.True(t, fleet.Until(patience, func() bool { return s.RunsByKey()["note"] == 1 }))
+	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
+	first := make(chan fleet.Response, 1)
+	go func() { first <- postWithTicket(t, b.addr("a1"), ticket, "note") }()
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return s.RunsByKey()["note"] == 1 }))
 	b.hosts["a1"].Kill()
 	require.False(t, (<-first).OK())
-	again := post(t, b.callers("a2"), ticket, "note")
-	require.Equal(t, "ticket_home_gone", again.Kind)
-	require.Equal(t, "may have run", again.Work)
+	retry := postWithTicket(t, b.addr("a2"), ticket, "note")
+	require.Equal(t, "ticket_home_gone", retry.ErrorKind)
+	require.Equal(t, "may have run", retry.Work)
 	require.Equal(t, 1, s.RunsByKey()["note"])
 }
 
-// The host that took the request is not the ticket's home, and dies. The home still knows that the
-// ticket is held: a second try must not run, before or after the first has been forgotten.
+// Guards against a second run of a claimed ticket: the host that claimed it dies, while the ticket's home host lives. The home
+// still holds the claim, so a retry must not run.
 func TestOtherHostDiesWithAClaimedTicket(t *testing.T) {
-	b := newBed(t, "a1", "a2", "a3")
-	s := b.addPlain("git-1", "zone-a", 500*time.Millisecond)
+	b := newTestbed(t, "a1", "a2", "a3")
+	s := b.addPlainService("git-1", "zone-a", 500*time.Millisecond)
 	b.start()
-	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
-	go post(t, b.callers("a2"), ticket, "note")
-	require.True(t, fleet.Until(patience, func() bool { return s.RunsByKey()["note"] == 1 }))
+	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
+	go postWithTicket(t, b.addr("a2"), ticket, "note")
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return s.RunsByKey()["note"] == 1 }))
 	b.hosts["a2"].Kill()
-	again := post(t, b.callers("a3"), ticket, "note")
-	require.Equal(t, "ticket_in_progress", again.Kind)
-	require.Equal(t, "may have run", again.Work)
+	retry := postWithTicket(t, b.addr("a3"), ticket, "note")
+	require.Equal(t, "ticket_in_progress", retry.ErrorKind)
+	require.Equal(t, "may have run", retry.Work)
 	require.Equal(t, 1, s.RunsByKey()["note"])
 }
 
-// The same ticket reaches two zones that cannot see each other. Each could think itself the first;
-// only the home's zone may run it.
+// Guards against a ticket that is accepted in two zones during a network partition: only the home host's zone may run it.
 func TestSameTicketInTwoZonesThatCannotSeeEachOther(t *testing.T) {
-	b := newBed(t, "a1", "b1")
-	sa, sb := b.addPlain("git-a", "zone-a", 5*time.Millisecond), b.addPlain("git-b", "zone-b", 5*time.Millisecond)
+	b := newTestbed(t, "a1", "b1")
+	sa, sb := b.addPlainService("git-a", "zone-a", 5*time.Millisecond), b.addPlainService("git-b", "zone-b", 5*time.Millisecond)
 	b.start()
-	ticket := b.caller().Ticket(ctx(t), b.callers("a1"))
-	heal := b.cutZones("zone-a", "zone-b")
-	far := post(t, b.callers("b1"), ticket, "note")
-	require.Equal(t, "ticket_home_gone", far.Kind)
-	near := post(t, b.callers("a1"), ticket, "note")
-	require.True(t, near.OK(), "%+v", near)
+	ticket := b.newCaller().Ticket(testCtx(t), b.addr("a1"))
+	heal := b.partitionZones("zone-a", "zone-b")
+	crossZone := postWithTicket(t, b.addr("b1"), ticket, "note")
+	require.Equal(t, "ticket_home_gone", crossZone.ErrorKind)
+	homeZone := postWithTicket(t, b.addr("a1"), ticket, "note")
+	require.True(t, homeZone.OK(), "%+v", homeZone)
 	heal()
-	require.True(t, fleet.Until(patience, func() bool {
-		return post(t, b.callers("b1"), ticket, "note").Kind == "ticket_done"
-	}), "after the heal the home says that the work ran")
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool {
+		return postWithTicket(t, b.addr("b1"), ticket, "note").ErrorKind == "ticket_done"
+	}), "after the heal the home host must report that the request ran")
 	require.Equal(t, 1, sa.RunsByKey()["note"]+sb.RunsByKey()["note"])
 }
 
-// A whole process is paused with requests waiting in it, past every lease, and wakes up believing
-// its old grants. Its callers must get one true answer each, and no request may run twice.
-func TestHostWakesPastEveryLease(t *testing.T) {
-	b := newBed(t, "a1", "a2")
+// Guards against a paused process that acts on expired grants: it is stopped past every lease with requests waiting in it.
+// No request may run twice, and none that was refused as "not run" may have run.
+func TestHostResumesAfterEveryLeaseHasExpired(t *testing.T) {
+	b := newTestbed(t, "a1", "a2")
 	b.addEngine("e1", "zone-a", fastEngine())
-	s := b.addPlain("git-1", "zone-a", 5*time.Millisecond)
+	s := b.addPlainService("git-1", "zone-a", 5*time.Millisecond)
 	b.start()
-	sleeper := b.other("zone-a", b.scheduler("git", "zone-a"))
-	l := startLoad(8, func(worker, i int) fleet.Answer {
+	pausedHost := b.otherHost("zone-a", b.schedulerOf("git", "zone-a"))
+	l := startLoad(8, func(worker, i int) fleet.Response {
 		if worker%2 == 0 {
-			return tiered("top").Call(ctx(t), "GET", b.callers(sleeper), "git", fmt.Sprint("stock/", i), nil)
+			return tierCaller("top").Call(testCtx(t), "GET", b.addr(pausedHost), "git", fmt.Sprint("stock/", i), nil)
 		}
-		return tiered("mid").Chat(ctx(t), b.callers(sleeper), "notes", fmt.Sprint("p", worker, i), 10, true)
+		return tierCaller("mid").Chat(testCtx(t), b.addr(pausedHost), "notes", fmt.Sprint("p", worker, i), 10, true)
 	})
-	require.True(t, fleet.Until(patience, func() bool { return l.count() > 40 }))
-	b.hosts[sleeper].Signal(syscall.SIGSTOP)
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > 40 }))
+	b.hosts[pausedHost].Signal(syscall.SIGSTOP)
 	time.Sleep(4 * time.Second)
-	b.hosts[sleeper].Signal(syscall.SIGCONT)
-	before := l.count()
-	require.True(t, fleet.Until(patience, func() bool { return l.count() > before+40 }))
+	b.hosts[pausedHost].Signal(syscall.SIGCONT)
+	before := l.answerCount()
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > before+40 }))
 	for _, a := range l.stop() {
-		if !a.OK() && a.Work == "not run" && a.Request != "" {
-			require.Zero(t, b.engineRuns()[a.Request]+s.Runs()[a.Request], "request %s was said not to have run", a.Request)
+		if !a.OK() && a.Work == "not run" && a.RequestID != "" {
+			require.Zero(t, b.runsByRequest()[a.RequestID]+s.Runs()[a.RequestID], "request %s was refused as not run, but ran", a.RequestID)
 		}
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// The host that schedules a group is paused, the others take the duty, and it wakes up believing
-// that it still has it. Two schedulers then grant on the same servers: callers must not notice.
-func TestTwoHostsBelieveTheyHoldTheSameDuty(t *testing.T) {
-	b := newBed(t, "a1", "a2", "a3")
+// Guards against failures while two hosts schedule the same group: the scheduler is paused, another host takes over the role,
+// and the first resumes as if it still had it. Both then grant slots on the same engines, and callers must not notice.
+func TestTwoHostsScheduleTheSameGroup(t *testing.T) {
+	b := newTestbed(t, "a1", "a2", "a3")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	old := b.scheduler("notes", "zone-a")
-	entry := b.other("zone-a", old)
-	l := startLoad(6, func(worker, i int) fleet.Answer {
-		return tiered("mid").Chat(ctx(t), b.callers(entry), "notes", fmt.Sprint("p", worker, i), 10, true)
+	oldScheduler := b.schedulerOf("notes", "zone-a")
+	entry := b.otherHost("zone-a", oldScheduler)
+	l := startLoad(6, func(worker, i int) fleet.Response {
+		return tierCaller("mid").Chat(testCtx(t), b.addr(entry), "notes", fmt.Sprint("p", worker, i), 10, true)
 	})
-	require.True(t, fleet.Until(patience, func() bool { return l.count() > 20 }))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > 20 }))
 	for round := 0; round < 2; round++ {
-		b.hosts[old].Signal(syscall.SIGSTOP)
-		before := l.count()
-		require.True(t, fleet.Until(patience, func() bool { return l.count() > before+20 }), "nobody took the duty")
-		b.hosts[old].Signal(syscall.SIGCONT)
-		before = l.count()
-		require.True(t, fleet.Until(patience, func() bool { return l.count() > before+20 }))
+		b.hosts[oldScheduler].Signal(syscall.SIGSTOP)
+		before := l.answerCount()
+		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > before+20 }), "no host took over the scheduler role")
+		b.hosts[oldScheduler].Signal(syscall.SIGCONT)
+		before = l.answerCount()
+		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return l.answerCount() > before+20 }))
 	}
 	answers := l.stop()
 	for _, a := range answers {
-		require.True(t, a.OK(), "%s", summarise(answers))
+		require.True(t, a.OK(), "%s", countOutcomes(answers))
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// A plain service runs a price check and its connection dies before the answer. A customer would
-// see two prices if anybody on the way, the HTTP library included, sent the call once more.
+// Guards against a repeated call when the connection to a plain service dies before the answer: the call may have run, so
+// neither the host nor the HTTP library may send it again.
 func TestLostAnswerOfAPlainServiceIsNotAskedForAgain(t *testing.T) {
-	b := newBed(t, "a1")
-	s := b.addPlain("git-1", "zone-a", time.Millisecond)
+	b := newTestbed(t, "a1")
+	s := b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
-	for i := 0; i < 5; i++ { // so that connections are kept and used again
-		require.True(t, tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "price", nil).OK())
+	for i := 0; i < 5; i++ { // so that connections are reused
+		require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "price", nil).OK())
 	}
 	s.SetMode(plain.Mode{DieAfter: true})
-	a := tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "price", nil)
-	require.Equal(t, "outcome_unknown", a.Kind)
+	a := tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "price", nil)
+	require.Equal(t, "outcome_unknown", a.ErrorKind)
 	require.Equal(t, "may have run", a.Work)
-	b.requireOnce()
+	b.requireNoneRanTwice()
 	require.Len(t, s.Runs(), 6)
 }
 
-// A backend server refuses connections. The work cannot have begun there, so it is done elsewhere;
-// with no server left the answer is "not run", and that is true.
+// Guards against a false outcome after a refused connection. The request cannot have begun there, so it goes to another
+// server, and without one it is refused as "not run".
 func TestRefusedConnectionIsProvedNotRun(t *testing.T) {
-	b := newBed(t, "a1")
-	one, two := b.addPlain("git-1", "zone-a", time.Millisecond), b.addPlain("git-2", "zone-a", time.Millisecond)
+	b := newTestbed(t, "a1")
+	one, two := b.addPlainService("git-1", "zone-a", time.Millisecond), b.addPlainService("git-2", "zone-a", time.Millisecond)
 	b.start()
-	b.toServer["git-1"].Stop()
+	b.backendProxies["git-1"].Stop()
 	for i := 0; i < 10; i++ {
-		a := tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil)
+		a := tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil)
 		require.True(t, a.OK(), "%+v", a)
 		require.Equal(t, "git-2", a.Backend)
 	}
-	b.toServer["git-2"].Stop()
-	call := func() fleet.Answer {
-		return tiered("top").With("Fireflyshift-Deadline-Ms", "1500").Call(ctx(t), "GET", b.callers("a1"), "git", "stock", nil)
+	b.backendProxies["git-2"].Stop()
+	call := func() fleet.Response {
+		return tierCaller("top").WithHeader("Fireflyshift-Deadline-Ms", "1500").Call(testCtx(t), "GET", b.addr("a1"), "git", "stock", nil)
 	}
 	a := call()
-	if a.Kind == "outcome_unknown" {
-		// The connection that was kept from the calls before closed as the request was written: that
-		// is no refused connection, and "may have run" is the true word. It is gone now.
+	if a.ErrorKind == "outcome_unknown" {
+		// The reused connection closed while the request was written. That is no refused connection, so "may have run" is
+		// correct. The connection is gone now, and the next call is refused.
 		require.Equal(t, "may have run", a.Work)
 		a = call()
 	}
@@ -174,66 +172,66 @@
 	require.Len(t, two.Runs(), 10)
 }
 
-// An answer is cut on its way from the engine, again and again. The teacher reading the summary
-// must get all of it, in order, with no sentence twice, and the engine must compute it once.
+// Guards against lost or repeated text when an engine's stream breaks off repeatedly: the host must resume it at the right
+// offset, and the engine must compute the answer once.
 func TestCutStreamIsResumedAtItsOffset(t *testing.T) {
-	b := newBed(t, "a1")
+	b := newTestbed(t, "a1")
 	e := b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
 	e.SetMode(engine.Mode{CutEvery: 7})
 	for _, stream := range []bool{true, false} {
 		prompt := fmt.Sprint("long summary ", stream)
-		a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", prompt, 60, stream)
+		a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", prompt, 60, stream)
 		require.True(t, a.OK(), "%+v", a)
-		require.Equal(t, expected(prompt, 60), a.Text)
+		require.Equal(t, fullAnswer(prompt, 60), a.Text)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// An engine closes a body early without an error, sends a chunk of somebody else's answer, leaves a
-// token out, or says too early that it is done. A caller would read a short or torn answer as
-// whole, or another workspace's text; the stream is taken up again at the right place.
+// Guards against a truncated or mixed-up answer that the caller takes for complete: the engine ends the body early without an
+// error, sends a chunk of another request's answer, skips a token, or signals the end too early. The host must notice each
+// and resume the stream at the right place.
 func TestShortAndCrossedAnswersAreNoticed(t *testing.T) {
-	b := newBed(t, "a1")
+	b := newTestbed(t, "a1")
 	e := b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	for i, mode := range []engine.Mode{{Short: true}, {Crossed: true}, {Gap: true}, {EarlyEnd: true}} {
+	for i, mode := range []engine.Mode{{Truncate: true}, {WrongRequestID: true}, {SkipToken: true}, {EarlyDone: true}} {
 		e.SetMode(mode)
 		prompt := fmt.Sprint("prompt ", i)
-		a := tiered("mid").With("Fireflyshift-Deadline-Ms", "8000").Chat(ctx(t), b.callers("a1"), "notes", prompt, 30, true)
+		a := tierCaller("mid").WithHeader("Fireflyshift-Deadline-Ms", "8000").Chat(testCtx(t), b.addr("a1"), "notes", prompt, 30, true)
 		require.True(t, a.OK(), "%+v", a)
-		require.Equal(t, expected(prompt, 30), a.Text)
+		require.Equal(t, fullAnswer(prompt, 30), a.Text)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// A plain service ends a body before its declared length, or is cut in one of unknown length. The buyer's page must show an error, not
-// half a price list.
+// Guards against a truncated body that the caller takes for complete: a plain service ends it before its declared length, or
+// breaks off one of unknown length.
 func TestShortBodyOfAPlainServiceIsAnError(t *testing.T) {
-	b := newBed(t, "a1")
-	s := b.addPlain("git-1", "zone-a", time.Millisecond)
+	b := newTestbed(t, "a1")
+	s := b.addPlainService("git-1", "zone-a", time.Millisecond)
 	b.start()
-	for _, mode := range []plain.Mode{{Short: true}, {Cut: true}} {
+	for _, mode := range []plain.Mode{{Truncate: true}, {CutBody: true}} {
 		s.SetMode(mode)
-		a := tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "prices", nil)
+		a := tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "prices", nil)
 		require.False(t, a.OK(), "%+v", a)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// An engine dies for good in the middle of an answer. The caller learns at once that the answer is
-// not whole and may have run; it does not wait out its deadline, and nothing runs again.
+// Guards against a caller that waits out its deadline when an engine dies during an answer: the caller must learn at once that
+// the answer is incomplete and may have run, and nothing runs again.
 func TestEngineDiesInMidAnswer(t *testing.T) {
-	b := newBed(t, "a1")
+	b := newTestbed(t, "a1")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	done := make(chan fleet.Answer, 1)
-	go func() { done <- tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "p", 2000, true) }()
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 1 }))
-	b.toServer["e1"].Stop()
+	done := make(chan fleet.Response, 1)
+	go func() { done <- tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "p", 2000, true) }()
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 1 }))
+	b.backendProxies["e1"].Stop()
 	a := <-done
 	require.False(t, a.OK())
-	require.Equal(t, "answer_cut", a.Kind)
+	require.Equal(t, "answer_cut", a.ErrorKind)
 	require.Equal(t, "may have run", a.Work)
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
--- a/test/pause_test.go
+++ b/test/pause_test.go
@@ -15,81 +15,81 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// pauses is how often a host is paused: a few times in CI, as often as FIREFLYSHIFT_PAUSES says by hand.
-func pauses() int {
+// pauseCount is how often a host is paused: twice in CI, or FIREFLYSHIFT_PAUSES times.
+func pauseCount() int {
 	if n, err := strconv.Atoi(os.Getenv("FIREFLYSHIFT_PAUSES")); err == nil {
 		return n
 	}
 	return 2
 }
 
-// Callers have requests waiting on a host when it is paused, and an operator takes an engine out meanwhile. The host
-// wakes up four seconds later. Its timer fired before it had read a socket: it took all others for dead, computed that the
-// group was its own, granted itself places on the engine that was leaving, and sent up to a window of requests there.
-// The log lines that showed it: "Dispatch." with backend=e1, scheduler= the woken host itself, granted_ago_ms of 3 to 27 and
-// lease_left_ms of 1,971 to 1,995, right after "The process was paused."; in each request's trail "asked" of itself
-// follows "asked" of the scheduler.
-func TestWokenHostSendsNothingToALeavingServer(t *testing.T) {
+// Guards against requests sent to a leaving engine by a host that resumes after a pause of four seconds, in which the engine
+// began to leave. The host's timer fired before it had read a socket, so it took all its peers for dead, became scheduler of
+// the group itself, granted itself slots on the leaving engine and sent up to a full window of requests there. The log then
+// had "Dispatch." with backend=e1, the resumed host as scheduler, granted_ago_ms of 3 to 27 and lease_left_ms of 1,971 to
+// 1,995, right after "The process was paused.". Each request's trace showed a slot request to the host itself after one to
+// the real scheduler.
+func TestResumedHostSendsNothingToALeavingServer(t *testing.T) {
 	for _, role := range []string{"entry", "scheduler"} {
 		t.Run(role, func(t *testing.T) {
-			b := newBed(t, "a1", "a2", "a3")
+			b := newTestbed(t, "a1", "a2", "a3")
 			b.addEngine("e1", "zone-a", fastEngine())
 			b.addEngine("e2", "zone-a", fastEngine())
 			b.start()
-			sleeper := b.scheduler("notes", "zone-a")
+			pausedHost := b.schedulerOf("notes", "zone-a")
 			if role == "entry" {
-				sleeper = b.other("zone-a", sleeper)
+				pausedHost = b.otherHost("zone-a", pausedHost)
 			}
-			awake := b.other("zone-a", sleeper)
-			l := startLoad(60, func(worker, i int) fleet.Answer {
-				return tiered("mid").Chat(ctx(t), b.callers([]string{awake, sleeper}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
+			runningHost := b.otherHost("zone-a", pausedHost)
+			l := startLoad(60, func(worker, i int) fleet.Response {
+				return tierCaller("mid").Chat(testCtx(t), b.addr([]string{runningHost, pausedHost}[worker%2]), "notes", fmt.Sprint(worker, "-", i), 10, true)
 			})
 			rng := rand.New(rand.NewPCG(25, 1))
 			late := 0
-			for range pauses() {
-				late += b.pauseBesideLeaving(sleeper, time.Duration(rng.IntN(40_000))*time.Microsecond)
+			for range pauseCount() {
+				late += b.pauseWhileBackendLeaves(pausedHost, time.Duration(rng.IntN(40_000))*time.Microsecond)
 			}
 			for _, a := range l.stop() {
-				require.True(t, a.OK() || a.Kind != "", "%+v", a)
+				require.True(t, a.OK() || a.ErrorKind != "", "%+v", a)
 			}
-			b.requireOnce()
-			require.Zero(t, late, "requests begun by the leaving engine after the bound")
+			b.requireNoneRanTwice()
+			require.Zero(t, late, "requests begun by the leaving engine after the time limit")
 		})
 	}
 }
 
-// pauseBesideLeaving pauses a host while e1 begins to leave, and counts what e1 begins after the bound.
-func (b *bed) pauseBesideLeaving(sleeper string, after time.Duration) int {
-	busy := func(engine string, more int) func() bool {
-		before := b.totalRuns(engine)
-		return func() bool { return b.totalRuns(engine) > before+more }
+// pauseWhileBackendLeaves pauses a host while e1 begins to leave, and counts the requests that e1 begins after the time limit.
+func (b *testbed) pauseWhileBackendLeaves(pausedHost string, after time.Duration) int {
+	ranMore := func(engine string, more int) func() bool {
+		before := b.runCount(engine)
+		return func() bool { return b.runCount(engine) > before+more }
 	}
-	require.True(b.t, fleet.Until(patience, busy("e1", 20)))
+	require.True(b.t, fleet.WaitUntil(waitTimeout, ranMore("e1", 20)))
 	time.Sleep(after)
-	b.hosts[sleeper].Signal(syscall.SIGSTOP)
-	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.toServer["e1"].Listen, 8, "leaving"))
-	bound := time.Now().Add(leaveBound)
-	time.Sleep(time.Until(bound))
-	b.hosts[sleeper].Signal(syscall.SIGCONT)
-	require.True(b.t, fleet.Until(patience, busy("e2", 40)))
+	b.hosts[pausedHost].Signal(syscall.SIGSTOP)
+	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.backendProxies["e1"].Listen, 8, "leaving"))
+	deadline := time.Now().Add(leaveTimeLimit)
+	time.Sleep(time.Until(deadline))
+	b.hosts[pausedHost].Signal(syscall.SIGCONT)
+	require.True(b.t, fleet.WaitUntil(waitTimeout, ranMore("e2", 40)))
 	late := 0
-	for id, at := range b.engines["e1"].Stats().Begun {
-		if at.After(bound) {
+	for id, at := range b.engines["e1"].Stats().StartedAt {
+		if at.After(deadline) {
 			late++
-			b.explainLate(sleeper, id, at, bound)
+			b.logLateRequest(pausedHost, id, at, deadline)
 		}
 	}
 	b.engines["e1"].ResetStats()
-	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.toServer["e1"].Listen, 8, "active"))
+	b.platform.PublishRaw(fleet.Backend("e1", "notes", "zone-a", b.backendProxies["e1"].Listen, 8, "active"))
 	return late
 }
 
-// explainLate shows what the sleeper says of a request that was begun too late.
-func (b *bed) explainLate(sleeper, id string, at, bound time.Time) {
-	_, trail, err := fleet.Get("http://" + b.specs[sleeper].Admin + "/explain/" + id)
-	b.t.Logf("%s began %s, %s after the bound (%v)\n%s", id, at.UTC().Format("15:04:05.000000"), at.Sub(bound), err, trail)
-	for _, line := range strings.Split(b.hosts[sleeper].Log.String(), "\n") {
-		if strings.Contains(line, id) || strings.Contains(line, "paused") || strings.Contains(line, "in force") {
+// logLateRequest logs what the paused host recorded about a request that was begun too late.
+func (b *testbed) logLateRequest(pausedHost, id string, at, deadline time.Time) {
+	_, trace, err := fleet.Get("http://" + b.hostSpecs[pausedHost].Admin + "/explain/" + id)
+	b.t.Logf("%s began at %s, %s after the time limit (%v)\n%s", id, at.UTC().Format("15:04:05.000000"), at.Sub(deadline), err, trace)
+	for _, line := range strings.Split(b.hosts[pausedHost].Log.String(), "\n") {
+		if strings.Contains(line, id) || strings.Contains(line, "paused") || strings.Contains(line, "Configuration activated") {
 			b.t.Log(line)
 		}
 	}
--- a/test/tiers_test.go
+++ b/test/tiers_test.go
@@ -18,141 +18,141 @@
 	"fireflyshift/internal/standin/fleet"
 )
 
-// All engines write long listing tags when a push check's hint is asked for at the end of a lesson.
-// The class would wait for a tag to end; instead a tag is suspended, and still gets all its text.
+// Guards against an urgent request that waits for a slot while all engines run long requests of a low tier. One of these must
+// be suspended for it, and still complete with all its text.
 func TestUrgentWorkDisplacesAndTheDisplacedWorkIsWhole(t *testing.T) {
-	b := newBed(t, "a1", "a2")
+	b := newTestbed(t, "a1", "a2")
 	o := fastEngine()
 	o.Batch = 2
 	b.addEngine("e1", "zone-a", o)
 	b.addEngine("e2", "zone-a", o)
 	b.start()
-	low := make(chan fleet.Answer, 4)
+	low := make(chan fleet.Response, 4)
 	for i := 0; i < 4; i++ {
 		go func() {
 			prompt := fmt.Sprint("tag ", i)
-			a := tiered("low").Chat(ctx(t), b.callers([]string{"a1", "a2"}[i%2]), "notes", prompt, 1500, true)
-			if a.OK() && a.Text != expected(prompt, 1500) {
+			a := tierCaller("low").Chat(testCtx(t), b.addr([]string{"a1", "a2"}[i%2]), "notes", prompt, 1500, true)
+			if a.OK() && a.Text != fullAnswer(prompt, 1500) {
 				a.Err = fmt.Errorf("torn text")
 			}
 			low <- a
 		}()
 	}
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 4 }))
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 4 }))
 	time.Sleep(100 * time.Millisecond)
-	a := tiered("top").Chat(ctx(t), b.callers("a1"), "notes", "urgent", 10, true)
+	a := tierCaller("top").Chat(testCtx(t), b.addr("a1"), "notes", "urgent", 10, true)
 	require.True(t, a.OK(), "%+v", a)
-	require.Equal(t, expected("urgent", 10), a.Text)
+	require.Equal(t, fullAnswer("urgent", 10), a.Text)
 	suspended := 0
 	for _, e := range b.engines {
 		suspended += e.Stats().Suspended
 	}
-	require.Positive(t, suspended, "the urgent request waited for a natural slot")
+	require.Positive(t, suspended, "no request was suspended for the urgent one")
 	for i := 0; i < 4; i++ {
 		answer := <-low
 		require.True(t, answer.OK(), "%+v", answer.Err)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// A burst of three times the capacity, over all tiers, at the end of a lesson. Work of the top tier
-// must all be answered; what is shed is shed from the bottom, at once, with a time to come back.
+// Guards against load shedding that hits urgent requests: a burst over all tiers arrives at three times the capacity. All
+// requests of the top tier must be answered, and what is refused as not run must have a retry delay.
 func TestBurstShedsFromTheBottom(t *testing.T) {
-	b := newBed(t, "a1", "a2")
+	b := newTestbed(t, "a1", "a2")
 	o := fastEngine()
 	o.Batch = 4
 	b.addEngine("e1", "zone-a", o)
 	b.start()
 	type result struct {
 		tier string
-		fleet.Answer
+		fleet.Response
 	}
 	results := make(chan result, 300)
 	tiers := []string{"low", "mid", "top"}
 	for i := 0; i < 300; i++ {
 		tier := tiers[min(2, i%10/4)] // 4 low, 4 mid, 2 top in ten
 		go func() {
-			c := tiered(tier).With("Fireflyshift-Deadline-Ms", "6000")
-			results <- result{tier, c.Chat(ctx(t), b.callers([]string{"a1", "a2"}[i%2]), "notes", fmt.Sprint("p", i), 20, true)}
+			c := tierCaller(tier).WithHeader("Fireflyshift-Deadline-Ms", "6000")
+			results <- result{tier, c.Chat(testCtx(t), b.addr([]string{"a1", "a2"}[i%2]), "notes", fmt.Sprint("p", i), 20, true)}
 		}()
 	}
-	whole, refused := map[string]int{}, map[string]int{}
+	answered, refused := map[string]int{}, map[string]int{}
 	for i := 0; i < 300; i++ {
 		r := <-results
 		if r.OK() {
-			whole[r.tier]++
+			answered[r.tier]++
 			continue
 		}
 		refused[r.tier]++
-		require.NotEmpty(t, r.Kind, "%+v", r.Answer)
+		require.NotEmpty(t, r.ErrorKind, "%+v", r.Response)
 		if r.Work == "not run" {
-			require.NotEmpty(t, r.RetryAfter, "%+v", r.Answer)
-			require.Zero(t, b.engineRuns()[r.Request])
+			require.NotEmpty(t, r.RetryAfter, "%+v", r.Response)
+			require.Zero(t, b.runsByRequest()[r.RequestID])
 		}
 	}
-	require.Equal(t, 60, whole["top"], "whole %v, refused %v", whole, refused)
-	require.GreaterOrEqual(t, whole["mid"], whole["low"])
-	b.requireOnce()
+	require.Equal(t, 60, answered["top"], "answered %v, refused %v", answered, refused)
+	require.GreaterOrEqual(t, answered["mid"], answered["low"])
+	b.requireNoneRanTwice()
 }
 
-// The host that schedules the engines dies in the middle of a burst. Callers of other hosts must
-// all get an answer: their streams go on, what waits moves to the next scheduler.
+// Guards against requests lost with the scheduler: its host dies in the middle of a burst. Streams through other hosts must
+// continue, and waiting requests must move to the next scheduler.
 func TestSchedulerDiesInTheMiddleOfABurst(t *testing.T) {
-	b := newBed(t, "a1", "a2", "a3")
+	b := newTestbed(t, "a1", "a2", "a3")
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
-	old := b.scheduler("notes", "zone-a")
-	entry := b.other("zone-a", old)
-	answers := make(chan fleet.Answer, 60)
+	oldScheduler := b.schedulerOf("notes", "zone-a")
+	entry := b.otherHost("zone-a", oldScheduler)
+	answers := make(chan fleet.Response, 60)
 	for i := 0; i < 60; i++ {
 		go func() {
 			prompt := fmt.Sprint("p", i)
-			a := tiered("mid").Chat(ctx(t), b.callers(entry), "notes", prompt, 100, true)
-			if a.OK() && a.Text != expected(prompt, 100) {
+			a := tierCaller("mid").Chat(testCtx(t), b.addr(entry), "notes", prompt, 100, true)
+			if a.OK() && a.Text != fullAnswer(prompt, 100) {
 				a.Err = fmt.Errorf("torn text")
 			}
 			answers <- a
 		}()
 	}
-	require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) > 10 }))
-	b.hosts[old].Kill()
+	require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) > 10 }))
+	b.hosts[oldScheduler].Kill()
 	for i := 0; i < 60; i++ {
 		a := <-answers
 		require.True(t, a.OK(), "%+v", a)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// Thousands of callers return at once after an outage. The host must answer each at once, with
-// bounded memory, and serve again as if nothing had been.
+// Guards against a host that runs out of memory or stalls when thousands of callers return at once after an outage: each must
+// get an answer or a refusal, and the host must serve normally afterwards.
 func TestThunderingReturnOfCallers(t *testing.T) {
-	b := newBed(t, "a1")
-	b.extra = "[limits]\nmax_requests = 200\n"
-	b.programs = unraced
+	b := newTestbed(t, "a1")
+	b.extraSettings = "[limits]\nmax_requests = 200\n"
+	b.binDir = noRaceBinDir
 	o := fastEngine()
 	o.Batch = 4
 	b.addEngine("e1", "zone-a", o)
 	b.start()
 	const callers = 2000
-	results := make(chan fleet.Answer, callers)
-	c := tiered("mid").With("Fireflyshift-Deadline-Ms", "5000")
+	results := make(chan fleet.Response, callers)
+	c := tierCaller("mid").WithHeader("Fireflyshift-Deadline-Ms", "5000")
 	c.Client.Transport.(*http.Transport).MaxConnsPerHost = 500
 	for i := 0; i < callers; i++ {
-		go func() { results <- c.Chat(ctx(t), b.callers("a1"), "notes", fmt.Sprint("p", i), 5, false) }()
+		go func() { results <- c.Chat(testCtx(t), b.addr("a1"), "notes", fmt.Sprint("p", i), 5, false) }()
 	}
-	var all []fleet.Answer
+	var all []fleet.Response
 	for i := 0; i < callers; i++ {
 		all = append(all, <-results)
 	}
 	for _, a := range all {
-		require.True(t, a.OK() || a.Kind != "", "%+v", a)
+		require.True(t, a.OK() || a.ErrorKind != "", "%+v", a)
 	}
 	resident := residentKB(t, b.hosts["a1"].Pid())
 	t.Logf("resident: %d KB", resident)
 	require.Less(t, resident, 150_000)
-	a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "after", 5, false)
+	a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "after", 5, false)
 	require.True(t, a.OK(), "%+v", a)
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
 func residentKB(t *testing.T, pid int) int {
@@ -169,19 +169,18 @@
 	return 0
 }
 
-// Callers with broken clients open connections and send bodies byte by byte, or never. Others must
-// not wait for them, and each of them is told what was wrong.
+// Guards against slow callers that hold up others: their bodies never complete, and each must be refused with the reason.
 func TestSlowCallersCostOthersNothing(t *testing.T) {
-	b := newBed(t, "a1")
-	b.extra = "[limits]\nbody_timeout = 500ms\nmax_requests = 10\n"
+	b := newTestbed(t, "a1")
+	b.extraSettings = "[limits]\nbody_timeout = 500ms\nmax_requests = 10\n"
 	b.addEngine("e1", "zone-a", fastEngine())
 	b.start()
 	slow := make(chan string, 50)
 	for i := 0; i < 50; i++ {
-		go func() { slow <- halfBody(b.callers("a1")) }()
+		go func() { slow <- sendHalfBody(b.addr("a1")) }()
 	}
 	for i := 0; i < 10; i++ {
-		a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "p", 5, false)
+		a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "p", 5, false)
 		require.True(t, a.OK(), "%+v", a)
 	}
 	for i := 0; i < 50; i++ {
@@ -189,55 +188,55 @@
 	}
 }
 
-// halfBody sends half a body, then waits for what the host says.
-func halfBody(addr string) string {
+// sendHalfBody sends an incomplete body and returns what the host sends back.
+func sendHalfBody(addr string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err.Error()
 	}
 	defer conn.Close()
-	fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{", school)
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: 1000\r\n\r\n{", workspaceKey)
+	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	data, _ := io.ReadAll(conn)
 	return string(data)
 }
 
-// A caller goes away while its request waits or runs. Its slot must go to others soon.
+// Guards against a slot that stays taken after its caller has disconnected.
 func TestCallerWhoLeavesGivesItsSlotBack(t *testing.T) {
-	b := newBed(t, "a1")
+	b := newTestbed(t, "a1")
 	o := fastEngine()
 	o.Batch = 1
 	b.addEngine("e1", "zone-a", o)
 	b.start()
 	for i := 0; i < 3; i++ {
 		c, cancel := context.WithCancel(context.Background())
-		go tiered("mid").Chat(c, b.callers("a1"), "notes", fmt.Sprint("leaves ", i), 4000, true)
-		require.True(t, fleet.Until(patience, func() bool { return len(b.engineRuns()) == 2*i+1 }))
+		go tierCaller("mid").Chat(c, b.addr("a1"), "notes", fmt.Sprint("leaves ", i), 4000, true)
+		require.True(t, fleet.WaitUntil(waitTimeout, func() bool { return len(b.runsByRequest()) == 2*i+1 }))
 		cancel()
-		a := tiered("mid").Chat(ctx(t), b.callers("a1"), "notes", "stays", 5, false)
+		a := tierCaller("mid").Chat(testCtx(t), b.addr("a1"), "notes", "stays", 5, false)
 		require.True(t, a.OK(), "%+v", a)
 	}
-	b.requireOnce()
+	b.requireNoneRanTwice()
 }
 
-// A workspace is over its published rate. It is refused at once with a time to come back, and the
-// other workspaces do not notice.
+// Guards against a rate limit that affects others: a workspace over its rate is refused with a retry delay, and other
+// workspaces are served.
 func TestWorkspaceOverItsRate(t *testing.T) {
-	b := newBed(t, "a1")
-	b.addPlain("git-1", "zone-a", time.Millisecond)
+	b := newTestbed(t, "a1")
+	b.addPlainService("git-1", "zone-a", time.Millisecond)
 	r := fleet.Workspace("greedy", "greedy-key", []string{"top"}, 1)
 	r.Body = bytes.Replace(r.Body, []byte(`"weight":1`), []byte(`"weight":1,"limits":{"requests_per_second":0.5,"burst":3}`), 1)
 	b.platform.PublishRaw(r)
 	b.start()
 	refused := 0
 	for i := 0; i < 10; i++ {
-		a := fleet.NewCaller("greedy-key").With("Fireflyshift-Tier", "top").Call(ctx(t), "GET", b.callers("a1"), "git", "x", nil)
-		if a.Kind == "rate_limited" {
+		a := fleet.NewCaller("greedy-key").WithHeader("Fireflyshift-Tier", "top").Call(testCtx(t), "GET", b.addr("a1"), "git", "x", nil)
+		if a.ErrorKind == "rate_limited" {
 			refused++
 			require.Equal(t, http.StatusTooManyRequests, a.Status)
 			require.NotEmpty(t, a.RetryAfter)
 		}
-		require.True(t, tiered("top").Call(ctx(t), "GET", b.callers("a1"), "git", "x", nil).OK())
+		require.True(t, tierCaller("top").Call(testCtx(t), "GET", b.addr("a1"), "git", "x", nil).OK())
 	}
 	require.GreaterOrEqual(t, refused, 6)
 }
